--- a/tests/test_linkcodec.py
+++ b/tests/test_linkcodec.py
@@ -24,38 +24,38 @@
 )
 
 
-@pytest.mark.parametrize(
-    "message",
-    [
-        linkcodec.Hello(PARTY),
-        linkmessages.Ping(SHARD, PARTY),
-        linkmessages.Ping(SHARD, PARTY, 12.5, 0),
-        linkmessages.Ping(SHARD, PARTY, 12.5, 7),
-        linkmessages.Ping(SHARD, PARTY, 12.5, 7, can_hold=True),
-        linkmessages.Ping(
-            SHARD, PARTY, 12.5, doubts=(linkmessages.Doubt(SHARD, 2**40),)
-        ),
-        linkmessages.Pong(agreed=(linkmessages.Doubt(SHARD, 7),)),
-        linkmessages.Returned(KEY, 4, True),
-        linkmessages.Returned(KEY, 5, False),
-        linkmessages.Offered(SHARD, KEY, JOB, 0.25, 1.5, True, 7),
-        linkmessages.Offered(SHARD, KEY, JOB, 0.25, 1.5, False, 8, True),
-        linkmessages.Withdrawn(SHARD, KEY),
-        linkmessages.Pong(),
-        linkmessages.Pong(holding=False),
-        linkmessages.Pong(at=12.5, roster=7),
-        linkmessages.Pong(at=12.5, roster=8, endpoints=("i-1", "i-2")),
-        linkmessages.Accepted(KEY, 3),
-        linkmessages.Declined(KEY, 4, 95),
-        linkmessages.Declined(KEY, 4, 95, in_time=True),
-        linkmessages.Pong(pending=(("q1", 3), ("q2", 1))),
-        linkmessages.Declined(KEY, 4, 95, reason="store_away"),
-        keptevents.Asked(SHARD, PARTY, KEY.job_id, True),
-        keptevents.Told(KEY.job_id, True, None),
-        *(keptevents.Told(KEY.job_id, False, s) for s in model.KeptState),
-        *(linkmessages.JobEnded(KEY, o, "why") for o in model.Outcome),
-    ],
-)
+MESSAGES = [
+    linkcodec.Hello(PARTY),
+    linkmessages.Ping(SHARD, PARTY),
+    linkmessages.Ping(SHARD, PARTY, 12.5, 0),
+    linkmessages.Ping(SHARD, PARTY, 12.5, 7),
+    linkmessages.Ping(SHARD, PARTY, 12.5, 7, can_hold=True),
+    linkmessages.Ping(
+        SHARD, PARTY, 12.5, doubts=(linkmessages.Doubt(SHARD, 2**40),)
+    ),
+    linkmessages.Pong(agreed=(linkmessages.Doubt(SHARD, 7),)),
+    linkmessages.Returned(KEY, 4, True),
+    linkmessages.Returned(KEY, 5, False),
+    linkmessages.Offered(SHARD, KEY, JOB, 0.25, 1.5, True, 7),
+    linkmessages.Offered(SHARD, KEY, JOB, 0.25, 1.5, False, 8, True),
+    linkmessages.Withdrawn(SHARD, KEY),
+    linkmessages.Pong(),
+    linkmessages.Pong(holding=False),
+    linkmessages.Pong(at=12.5, roster=7),
+    linkmessages.Pong(at=12.5, roster=8, endpoints=("i-1", "i-2")),
+    linkmessages.Accepted(KEY, 3),
+    linkmessages.Declined(KEY, 4, 95),
+    linkmessages.Declined(KEY, 4, 95, in_time=True),
+    linkmessages.Pong(pending=(("q1", 3), ("q2", 1))),
+    linkmessages.Declined(KEY, 4, 95, reason="store_away"),
+    keptevents.Asked(SHARD, PARTY, KEY.job_id, True),
+    keptevents.Told(KEY.job_id, True, None),
+    *(keptevents.Told(KEY.job_id, False, s) for s in model.KeptState),
+    *(linkmessages.JobEnded(KEY, o, "why") for o in model.Outcome),
+]
+
+
+@pytest.mark.parametrize("message", MESSAGES)
 def test_message_comes_back_as_it_went(message):
   data = linkcodec.encode(SHARD, message)
   assert linkcodec.decode(data, PARTY) == (SHARD, message)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -38,34 +38,34 @@
 HIGH_VIEW = 2**64 - 1
 
 
-@pytest.mark.parametrize(
-    "request_",
-    [
-        claims.ForwardJob(conftest.make_job(tasks=3, idempotent=False), 2),
-        claims.ForwardCancel(messages.Cancel("altamaha", "k"), 1),
-        claims.ClaimRequest(HIGH_VIEW, CLAIM),
-        claims.Release("k", TOKEN, 7),
-        claims.AnswerCopy(CLAIM),
-        claims.SyncRequest(HIGH_VIEW, TOKEN, 5, (0, 1023)),
-        claims.ProbeRequest(HIGH_VIEW, TOKEN),
-    ],
-)
+REQUESTS = [
+    claims.ForwardJob(conftest.make_job(tasks=3, idempotent=False), 2),
+    claims.ForwardCancel(messages.Cancel("altamaha", "k"), 1),
+    claims.ClaimRequest(HIGH_VIEW, CLAIM),
+    claims.Release("k", TOKEN, 7),
+    claims.AnswerCopy(CLAIM),
+    claims.SyncRequest(HIGH_VIEW, TOKEN, 5, (0, 1023)),
+    claims.ProbeRequest(HIGH_VIEW, TOKEN),
+]
+
+
+@pytest.mark.parametrize("request_", REQUESTS)
 def test_requests_round_trip(request_):
   data = peercodec.encode_request(9, request_)
   assert peercodec.decode_request(data) == (9, request_)
 
 
-@pytest.mark.parametrize(
-    "reply",
-    [
-        claims.ClaimReply(claims.Verdict.HELD, True, (CLAIM, CLAIM)),
-        claims.ClaimReply(claims.Verdict.NOT_READY),
-        claims.SyncReply(True, (CLAIM,)),
-        claims.SyncReply(False),
-        claims.ProbeReply(True),
-        claims.Outcome(answer=ANSWER),
-    ],
-)
+REPLIES = [
+    claims.ClaimReply(claims.Verdict.HELD, True, (CLAIM, CLAIM)),
+    claims.ClaimReply(claims.Verdict.NOT_READY),
+    claims.SyncReply(True, (CLAIM,)),
+    claims.SyncReply(False),
+    claims.ProbeReply(True),
+    claims.Outcome(answer=ANSWER),
+]
+
+
+@pytest.mark.parametrize("reply", REPLIES)
 def test_replies_round_trip(reply):
   data = peercodec.encode_reply(4, "boot-2", reply)
   assert peercodec.decode_reply(data) == (4, "boot-2", reply)
--- /dev/null
+++ b/tests/test_stored_records.py
@@ -0,0 +1,148 @@
+"""Records and messages of a host that runs an earlier build, as bytes.
+
+Hosts are replaced one after the other: the next build reads what the one before
+left in the store, and the two exchange messages while both run.
+"""
+
+import base64
+import pathlib
+
+import pytest
+
+from fescueturn import events as entry_events
+from fescueturn import kvtypes
+from fescueturn import membership
+from fescueturn import peercodec
+from fescueturn import settings
+from fescueturn.platform import claims
+from fescueturn.scheduler import keptevents
+from fescueturn.scheduler import linkcodec
+from fescueturn.scheduler import linkmessages
+from fescueturn.scheduler import model
+from tests import test_linkcodec
+from tests import test_peer
+from tests import test_platform_keeper
+
+JOB_RECORD = (
+    b'{"service":"speller","spec":"spec","steps":[[2,[27000,64,0],200,[],"a",'
+    b'"r1",1],[1,[27000,64,0],50,[0],"","",0]],"attempts":3,"stretch":1.6,'
+    b'"slo_ms":60,"queue":"q"}'
+)
+STORED = {
+    "fescueturn/ends/north/0/k": (
+        b'{"done":[[0,1]],"failed":[[0,0,2]],"crashed":[[0,0,"i-3"]],'
+        b'"lost":[[0,0,"i-4","10.0.0.4:8161"]]}'
+    ),
+    "fescueturn/heads/north/0": b"[1,3,0]",
+    "fescueturn/jobs/k": b'["open","north",0]',
+    "fescueturn/jobs/over": b'["failed","north",0]',
+    "fescueturn/open/north/0/k": JOB_RECORD,
+}
+PROGRESS = model.Progress(
+    (model.Task("k", 0, 1),),
+    (model.RunId(model.Task("k", 0, 0), 2),),
+    ((model.Task("k", 0, 0), "i-3"),),
+    ((model.Task("k", 0, 0), "i-4", settings.Address("10.0.0.4", 8161)),),
+)
+CLAIM_KEY = "fescueturn/holders/north/0"
+CLAIM = b'{"host":"h","boot":"b","peer":"10.0.0.1:7720"}'
+MEMBER = (
+    b'{"peer": "10.0.0.1:7720", "boot": "b", "lease": 4, "leaving": true,'
+    b' "rack": "r1"}'
+)
+ENDPOINT = (
+    b'{"name": "e1", "address": "10.0.0.9:80", "data_centre": "north",'
+    b' "services": ["speller"], "slots": 8, "leaving": false}'
+)
+# One message a line, in the order of the lists that it is compared with.
+MESSAGES = pathlib.Path(__file__).with_name("recorded_messages.txt")
+
+
+def recorded(section: str) -> list[bytes]:
+  lines = MESSAGES.read_text().splitlines()
+  begin = lines.index(f"[{section}]") + 1
+  found = []
+  for line in lines[begin:]:
+    if line.startswith("["):
+      break
+    found.append(base64.b64decode(line))
+  return found
+
+
+def test_kept_jobs_of_the_earlier_build_are_read():
+  memory = test_platform_keeper.MemoryStore()
+  for key, value in STORED.items():
+    memory.store.put(key, value)
+  holder = test_platform_keeper.Holder(memory)
+  job = test_platform_keeper.job("k")
+  assert holder.loaded.takeovers == 1
+  assert holder.loaded.jobs == (model.KeptJob(job, PROGRESS),)
+  assert holder.state("k").state is model.KeptState.OPEN
+  assert holder.state("over").state is model.KeptState.FAILED
+
+
+def test_kept_jobs_are_written_as_the_earlier_build_reads_them():
+  memory = test_platform_keeper.MemoryStore()
+  holder = test_platform_keeper.Holder(memory)
+  job = test_platform_keeper.job("k")
+  holder.write(keptevents.KeepJob(job))
+  holder.write(keptevents.KeepProgress("k", PROGRESS))
+  found = {item.key: item.value for item in memory.store.range("")}
+  del found[CLAIM_KEY]
+  assert found == {
+      **{k: v for k, v in STORED.items() if k != "fescueturn/jobs/over"},
+      "fescueturn/heads/north/0": b"[1,2,0]",
+  }
+
+
+def test_claim_of_the_earlier_build_names_its_holder():
+  shard = claims._shard(CLAIM_KEY)
+  holder = claims._holder(kvtypes.Item(CLAIM_KEY, 7, CLAIM))
+  peer = settings.Address("10.0.0.1", 7720)
+  assert shard == model.Shard("north", 0)
+  assert holder == model.Holder("h", "b", peer, 7)
+  party = linkmessages.Party("h", "b")
+  assert claims.Claims(None, party, peer)._value == CLAIM
+
+
+def test_member_and_endpoint_of_the_earlier_build_are_read_and_written():
+  member = membership.parse_member("/members/entry-1", MEMBER)
+  peer = settings.Address("10.0.0.1", 7720)
+  assert member == entry_events.Member("entry-1", peer, "b", 4, True, "r1")
+  assert membership.member_value(member) == MEMBER
+  endpoint = kvtypes.decode_host(ENDPOINT)
+  assert endpoint == kvtypes.HostRecord(
+      "e1", "10.0.0.9:80", "north", ("speller",), 8
+  )
+  assert endpoint.encode() == ENDPOINT
+  assert endpoint.key == "/hosts/e1"
+
+
+@pytest.mark.parametrize(
+    ("message", "data"),
+    zip(test_linkcodec.MESSAGES, recorded("link"), strict=True),
+)
+def test_messages_between_hosts_are_those_of_the_earlier_build(message, data):
+  assert linkcodec.encode(test_linkcodec.SHARD, message) == data
+  assert linkcodec.decode(data, test_linkcodec.PARTY) == (
+      test_linkcodec.SHARD,
+      message,
+  )
+
+
+@pytest.mark.parametrize(
+    ("request_", "data"),
+    zip(test_peer.REQUESTS, recorded("requests"), strict=True),
+)
+def test_requests_of_entry_hosts_are_those_of_the_earlier_build(request_, data):
+  assert peercodec.encode_request(9, request_) == data
+  assert peercodec.decode_request(data) == (9, request_)
+
+
+@pytest.mark.parametrize(
+    ("reply", "data"),
+    zip(test_peer.REPLIES, recorded("replies"), strict=True),
+)
+def test_replies_of_entry_hosts_are_those_of_the_earlier_build(reply, data):
+  assert peercodec.encode_reply(4, "boot-2", reply) == data
+  assert peercodec.decode_reply(data) == (4, "boot-2", reply)
