--- a/fescueturn/scheduler/events.py
+++ b/fescueturn/scheduler/events.py
@@ -1,7 +1,7 @@
-"""Events that a host's scheduler takes, and the effects it returns.
+"""Events that a host's scheduler handles, and the effects it returns.
 
-Every input to a decision is an event; `reducer.reduce` answers each with
-effects, which the I/O shell in `host` carries out.
+Every input to a scheduling decision is an event. `reducer.reduce` maps each
+event to effects, which the I/O shell in `host` executes.
 """
 
 import dataclasses
@@ -9,10 +9,10 @@
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 
-FromCoordinator = (
+CoordinatorMessage = (
     linkmessages.Offered | linkmessages.Withdrawn | linkmessages.Ping
 )
-FromHolder = (
+HolderMessage = (
     linkmessages.Accepted
     | linkmessages.Declined
     | linkmessages.JobEnded
@@ -20,89 +20,96 @@
     | linkmessages.Pong
 )
 
-# Events of the coordinator.
+# Events for the coordinator.
 
 
 @dataclasses.dataclass(frozen=True)
 class JobArrived:
-  """A caller's job; `deadline_s` is how long the caller waits from now.
+  """A caller submitted a job.
 
   Attributes:
-    request_id: the shell's number for the request.
-    job: what to run.
-    deadline_s: how long the caller waits.
-    trace: the caller's own id for the request, for the logs.
+    request_id: number that the I/O shell assigned to the request.
+    job: the job to run.
+    deadline_s: how long the caller waits, in seconds from now.
+    trace_id: the caller's own id for the request, for the logs.
   """
 
   request_id: int
   job: model.Job
   deadline_s: float
-  trace: str = ""
+  trace_id: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
 class CallerGone:
-  """The caller of a request closed its connection before the answer."""
+  """A caller closed its connection before it got a response."""
 
   request_id: int
 
 
 @dataclasses.dataclass(frozen=True)
 class JobCancelled:
-  """A caller asked to cancel a job that this host coordinates."""
+  """A caller requested cancellation of a job that this host coordinates."""
 
   job_id: str
 
 
 @dataclasses.dataclass(frozen=True)
 class HolderChanged:
-  """The store names another holder of a shard, or none.
+  """The store records a new holder of a shard, or none.
 
   Attributes:
-    shard: which shard.
-    holder: its holder; None if there is none.
-    blank: the revision of a claim that is there and names no holder, or 0.
-    follows: the fence number of the holder just before, where that is sure;
-      else 0.
+    shard: the shard.
+    holder: its holder; None if it has none.
+    unreadable_revision: the revision of a claim that exists but cannot be
+      parsed; 0 if there is no such claim.
+    follows: the fence number of the immediately preceding holder if that is
+      certain; else 0.
   """
 
   shard: model.Shard
   holder: model.Holder | None
-  blank: int = 0
+  unreadable_revision: int = 0
   follows: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
-class Heard:
-  """A message came in from a shard's holder."""
+class HolderMessageReceived:
+  """A shard's holder sent this host's coordinator a message."""
 
   shard: model.Shard
-  party: linkmessages.Party
-  message: FromHolder
+  process: linkmessages.HostProcess
+  message: HolderMessage
 
 
 @dataclasses.dataclass(frozen=True)
 class LinkLost:
-  """A link to a holder broke; `refused` when nothing listens there."""
+  """The link to a holder failed.
+
+  Attributes:
+    shard: the holder's shard.
+    process: the holder's process.
+    refused: True if the connection was refused, so the process has ended.
+  """
 
   shard: model.Shard
-  party: linkmessages.Party
+  process: linkmessages.HostProcess
   refused: bool
 
 
-# Events of the owner.
+# Events for the owner.
 
 
 @dataclasses.dataclass(frozen=True)
 class EndpointsListed:
-  """The endpoints that the platform lists now."""
+  """The platform's current list of endpoints was read."""
 
   endpoints: tuple[model.Endpoint, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class StartAnswered:
-  """What came of a `StartRun`; `clock_ms` is None without an answer."""
+  """A `StartRun` call completed; `clock_ms` is None without a response."""
 
   endpoint: str
   run: model.RunId
@@ -112,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StopAnswered:
-  """What came of a `StopRun`."""
+  """A `StopRun` call completed; `clock_ms` is None without a response."""
 
   endpoint: str
   run: model.RunId
@@ -122,55 +129,61 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseAnswered:
-  """What came of a `RenewLease`.
+  """A `RenewLease` call completed.
 
   Attributes:
-    endpoint: its id.
+    endpoint: the endpoint's id.
     number: the number of the `RenewLease`.
-    result: what came of it.
-    clock_ms: the endpoint's clock; None without an answer.
-    running: the runs that go on there.
-    ended: the runs that ended, those acknowledged left out.
+    result: the call's result.
+    clock_ms: the endpoint's clock; None without a response.
+    running: the endpoint's current runs.
+    ended: runs that ended and whose end has not been acknowledged.
   """
 
   endpoint: str
   number: int
   result: model.CallResult
   clock_ms: int | None
-  running: tuple[model.Running, ...] = ()
-  ended: tuple[model.Ended, ...] = ()
+  running: tuple[model.ActiveRun, ...] = ()
+  ended: tuple[model.EndedRun, ...] = ()
 
 
-# Events of the host.
+# Events for the host as a whole.
 
 
 @dataclasses.dataclass(frozen=True)
 class Tick:
-  """The timer service's tick."""
+  """The timer service ticked."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ClaimAnswered:
-  """A try to claim a shard ended; the watch tells who holds it."""
+  """An attempt to claim a shard completed.
+
+  The watch on the claims reports who holds the shard.
+  """
 
   shard: model.Shard
 
 
 @dataclasses.dataclass(frozen=True)
 class EvacuationsChanged:
-  """The operator's requests to evacuate data centres: all in force now."""
+  """The operator's evacuation requests changed; lists all that are active."""
 
   evacuations: tuple[model.Evacuation, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class DrainStarted:
-  """A planned stop began."""
+  """A planned shutdown began."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ProcessEnding:
-  """The planned stop's time is over: whoever still waits is answered now."""
+  """The grace period of a planned shutdown is over.
+
+  Callers that still wait get their response now.
+  """
 
 
 Event = (
@@ -178,10 +191,10 @@
     | CallerGone
     | JobCancelled
     | HolderChanged
-    | Heard
+    | HolderMessageReceived
     | LinkLost
     | EndpointsListed
-    | FromCoordinator
+    | CoordinatorMessage
     | StartAnswered
     | StopAnswered
     | LeaseAnswered
@@ -197,14 +210,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartRun:
-  """Start a run; report back with `StartAnswered`.
+  """Start a run on an endpoint; the result arrives as `StartAnswered`.
 
   Attributes:
-    endpoint: where.
+    endpoint: the endpoint to call.
     run: the task and attempt.
-    spec: what it runs.
-    deadline_ms: until when, on the endpoint's clock, the order and the lease
-      on all that runs there are good.
+    spec: what the task runs.
+    deadline_ms: when this call and the lease that covers all of the endpoint's
+      runs expire, on the endpoint's clock.
     fence: the owner's fence number.
   """
 
@@ -217,7 +230,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class StopRun:
-  """Stop a run, or bar it if it is not there yet; see `StopAnswered`."""
+  """Stop a run on an endpoint; the result arrives as `StopAnswered`.
+
+  If the run has not arrived there yet, the endpoint will reject it.
+  """
 
   endpoint: model.Endpoint
   run: model.RunId
@@ -226,15 +242,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class RenewLease:
-  """Renew an endpoint's lease and list its runs; see `LeaseAnswered`.
+  """Renew an endpoint's lease and list its runs.
+
+  The result arrives as `LeaseAnswered`.
 
   Attributes:
-    endpoint: where.
+    endpoint: the endpoint to call.
     number: rises with each call to the endpoint.
-    last_seen: ends up to this number are known and may be forgotten.
-    deadline_ms: the lease's new end on the endpoint's clock, or None to let
-      it be (the first call, when that clock isn't known yet).
-    wait_ms: how long the endpoint may wait for an end before it answers.
+    last_seen: acknowledges all ended runs up to this sequence number, which
+      the endpoint may then discard.
+    deadline_ms: when the renewed lease expires, on the endpoint's clock; None
+      to leave the lease unchanged, as in the first call, when that clock is
+      not known yet.
+    wait_ms: how long the endpoint may wait for a run to end before it
+      responds.
     fence: the owner's fence number.
   """
 
@@ -247,32 +268,32 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class TellHolder:
+class SendToHolder:
   """Send a message to the holder of a shard."""
 
   shard: model.Shard
   holder: model.Holder
-  message: FromCoordinator
+  message: CoordinatorMessage
 
 
 @dataclasses.dataclass(frozen=True)
-class TellCoordinator:
+class SendToCoordinator:
   """Send a message to a coordinator."""
 
-  party: linkmessages.Party
+  process: linkmessages.HostProcess
   shard: model.Shard
-  message: FromHolder
+  message: HolderMessage
 
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-  """Give a caller its final answer.
+  """Send a caller its final response.
 
   Attributes:
     request_id: the caller's request.
-    outcome: how its job ended.
-    retry_after_s: when to come back, for a job that did not run.
-    reason: why, in one word, for the logs.
+    outcome: the outcome of its job.
+    retry_after_s: when the caller should retry a job that did not run.
+    reason: one-word reason, for the logs.
   """
 
   request_id: int
@@ -283,12 +304,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClaimShard:
-  """Claim a shard in the store in place of the holder of `replaces`.
+  """Claim a shard in the store by compare-and-swap.
 
   Attributes:
-    shard: which shard.
-    replaces: the revision of the claim that is there; 0 for none.
-    follows: the last fence number known of the shard; 0 for none.
+    shard: the shard to claim.
+    replaces: the revision of the existing claim to replace; 0 for none.
+    follows: the shard's last known fence number; 0 for none.
   """
 
   shard: model.Shard
@@ -298,7 +319,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReleaseShard:
-  """Give a shard up in the store, so that another host claims it at once."""
+  """Delete a shard's claim so that another host can claim it at once."""
 
   shard: model.Shard
   fence: int
@@ -306,7 +327,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Log:
-  """A line for the log: what was decided, on which inputs."""
+  """Write a log line about a decision and its inputs."""
 
   event: str
   fields: tuple[tuple[str, object], ...]
@@ -316,8 +337,8 @@
     StartRun
     | StopRun
     | RenewLease
-    | TellHolder
-    | TellCoordinator
+    | SendToHolder
+    | SendToCoordinator
     | Answer
     | ClaimShard
     | ReleaseShard
@@ -326,5 +347,5 @@
 
 
 def log(event: str, **fields) -> Log:
-  """Returns the effect that logs one event with its fields."""
+  """Returns a `Log` effect for an event and its fields."""
   return Log(event, tuple(fields.items()))
--- a/fescueturn/scheduler/figures.py
+++ b/fescueturn/scheduler/hostmetrics.py
@@ -1,8 +1,8 @@
-"""Figures of a host for its metrics page, in Prometheus' text format.
+"""Metrics of a host, exported in Prometheus' text format.
 
-Counters and gauges are read off the scheduler's state when the page is asked
-for; latencies are observed as they happen, and told to statsd where there is a
-collector. `docs/OPERATIONS.md` lists them all.
+Counters and gauges are read from the scheduler's state on each scrape.
+Latencies are observed as they occur, and also sent to statsd if a collector is
+configured. `docs/OPERATIONS.md` lists all metrics.
 """
 
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 from prometheus_client import core
 from prometheus_client import registry as registry_lib
 
-from fescueturn.scheduler import ledger
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import state as state_lib
 
-# From half the shortest task to the longest wait of a caller.
+# Range: from half the shortest task's run time to a caller's longest wait.
 JOB_BUCKETS_S = (0.03, 0.06, 0.12, 0.25, 0.5, 1.0, 2.0, 4.0)
-# From a round trip in a data centre to the longest time-out.
+# Range: from a round trip within a data centre to the longest timeout.
 CALL_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.3, 1.0, 3.0)
 
-# Told of a call: to what, what came of it, and how long it took (s).
-Observer = Callable[[str, str, float], None]
+# Called with a call's dependency, its result and its duration (s).
+CallObserver = Callable[[str, str, float], None]
 
 
-class Figures(registry_lib.Collector):
-  """A host's figures; `page` renders them."""
+class HostMetrics(registry_lib.Collector):
+  """A host's metrics; `render` returns them as text."""
 
   def __init__(
       self,
@@ -34,7 +34,7 @@
       stats: statsd.StatsClient | None = None,
   ):
     self._state = state
-    # Where jobs and calls are told of as they happen, if anywhere.
+    # Receives the durations of jobs and calls; None if there is no collector.
     self._stats = stats
     self._registry = prometheus_client.CollectorRegistry()
     self._registry.register(self)
@@ -63,36 +63,41 @@
         registry=self._registry,
     )
 
-  def job(self, queue: str, outcome: str, took_s: float):
-    """Notes a job answered."""
+  def observe_job(self, queue: str, outcome: str, took_s: float):
+    """Records the outcome and duration of a job, at its response."""
     self._jobs.labels(queue, outcome).observe(took_s)
     if self._stats is not None:
       self._stats.timing(f"job_ms.{outcome}", took_s * 1000)
 
-  def call(self, dependency: str, result: str, took_s: float):
-    """Notes a call answered, or given up."""
+  def observe_call(self, dependency: str, result: str, took_s: float):
+    """Records the result and duration of a call, completed or timed out."""
     self._calls.labels(dependency, result).observe(took_s)
     if self._stats is not None:
       self._stats.timing(f"call_ms.{dependency}.{result}", took_s * 1000)
 
-  def config(self, version: int):
-    """Notes the configuration in force."""
+  def set_config_version(self, version: int):
+    """Records the version of the active configuration."""
     self._config.set(version)
 
-  def config_unheard(self, seconds: Callable[[], float]):
-    """Takes how to tell how long ago the store last told the configuration."""
+  def set_config_age(self, seconds: Callable[[], float]):
+    """Sets the source of the configuration's age.
+
+    Args:
+      seconds: returns the time since the store last confirmed the
+        configuration.
+    """
     self._config_unheard.set_function(seconds)
 
-  def page(self) -> bytes:
-    """Returns the metrics page."""
+  def render(self) -> bytes:
+    """Returns all metrics in Prometheus' text format."""
     return prometheus_client.generate_latest(self._registry)
 
   def describe(self) -> list:
-    """Says that what `collect` yields is not known ahead."""
+    """Returns no metrics, since those of `collect` are not known in advance."""
     return []
 
   def collect(self) -> Iterator[core.Metric]:
-    """Yields the counters and gauges in the scheduler's state."""
+    """Yields the counters and gauges read from the scheduler's state."""
     state = self._state
     yield _counters("coordinator", state.coordinator.counters)
     for owner in state.owners.values():
@@ -148,7 +153,7 @@
 
 
 def _count_states(
-    records: list[ledger.EndpointRecord], now: float
+    records: list[endpointstate.EndpointRecord], now: float
 ) -> dict[str, int]:
   counts = {
       "usable": 0,
@@ -162,11 +167,11 @@
   return counts
 
 
-def _state_of(record: ledger.EndpointRecord, now: float) -> str:
-  if not record.known:
+def _state_of(record: endpointstate.EndpointRecord, now: float) -> str:
+  if not record.runs_known:
     return "unknown"
   if record.silent_since is not None:
     return "silent"
   if record.info.draining or not record.listed:
     return "draining"
-  return "left_out" if record.out_until > now else "usable"
+  return "left_out" if record.excluded_until > now else "usable"
--- a/fescueturn/scheduler/keptcodec.py
+++ b/fescueturn/scheduler/keptcodec.py
@@ -1,4 +1,4 @@
-"""JSON form of kept jobs' records, as they lie in the store."""
+"""JSON codec for the store's records of kept (durable) jobs."""
 
 import json
 
@@ -9,13 +9,13 @@
 
 
 class MalformedRecordError(errors.FescueError):
-  """A record in the store is not one of this version."""
+  """A record in the store is not valid for this version."""
 
   code = codes.Code.BAD_FIELD
 
 
 def encode_job(job: model.Job) -> bytes:
-  """Returns a kept job's record; its id is not part of it."""
+  """Returns a kept job's record, which does not contain the job's id."""
   return _dump(
       {
           "service": job.service,
@@ -43,10 +43,10 @@
 
 
 def decode_job(job_id: str, value: bytes) -> model.Job:
-  """Returns the kept job in a record.
+  """Returns the kept job that a record encodes.
 
   Raises:
-    MalformedRecordError: it is none.
+    MalformedRecordError: the record is not valid.
   """
   try:
     raw = json.loads(value)
@@ -62,14 +62,16 @@
         kept=True,
     )
   except (KeyError, TypeError, ValueError) as exc:
-    raise MalformedRecordError(f"kept job {job_id}: {exc!r}") from exc
+    raise MalformedRecordError(
+        f"malformed record of kept job {job_id}: {exc!r}"
+    ) from exc
 
 
 def _step(row: list) -> model.Step:
   count, need, estimate_ms, after, requires, near, most = row
   return model.Step(
       count,
-      model.Room(*need),
+      model.Resources(*need),
       estimate_ms,
       tuple(after),
       requires,
@@ -79,7 +81,11 @@
 
 
 def encode_progress(progress: model.Progress) -> bytes:
-  """Returns the record of what is over of a job: rows of step and index."""
+  """Returns the record of a job's progress.
+
+  Each row identifies a task by its step and index; `done`, `failed`, `crashed`
+  and `lost` are as in `model.Progress`.
+  """
   return _dump(
       {
           "done": [[t.step, t.index] for t in progress.done],
@@ -96,10 +102,10 @@
 
 
 def decode_progress(job_id: str, value: bytes) -> model.Progress:
-  """Returns what is over of a job, from its record.
+  """Returns the progress that a record of a job encodes.
 
   Raises:
-    MalformedRecordError: it is none.
+    MalformedRecordError: the record is not valid.
   """
   try:
     raw = json.loads(value)
@@ -109,7 +115,7 @@
             model.RunId(model.Task(job_id, step, i), attempt)
             for step, i, attempt in raw["failed"]
         ),
-        # Records of earlier versions have no losses.
+        # Records of earlier versions lack `crashed` and `lost`.
         tuple(
             (model.Task(job_id, step, i), name)
             for step, i, name in raw.get("crashed", ())
@@ -120,7 +126,9 @@
         ),
     )
   except (AttributeError, KeyError, TypeError, ValueError) as exc:
-    raise MalformedRecordError(f"progress of {job_id}: {exc!r}") from exc
+    raise MalformedRecordError(
+        f"malformed progress record of kept job {job_id}: {exc!r}"
+    ) from exc
 
 
 def _dump(record: dict) -> bytes:
--- a/fescueturn/scheduler/keptevents.py
+++ b/fescueturn/scheduler/keptevents.py
@@ -1,9 +1,10 @@
-"""Events, messages and effects about kept jobs; `events` has all others.
+"""Events, effects and messages about kept (durable) jobs.
 
-A kept job is stored before it is accepted. The holder of a shard writes its
-jobs' records in numbered writes, one after the other; each depends on its
-claim and on the write before, so that nothing of a holder that was replaced,
-and no write that the store carries out late, takes effect.
+All other events and effects are in `events`. A kept job is stored before it is
+accepted. The holder of a shard writes its jobs' records in numbered writes,
+one at a time. Each write is conditional on the holder's claim and on the
+previous write, so that writes of a replaced holder and writes that the store
+executes late have no effect.
 """
 
 import dataclasses
@@ -12,75 +13,78 @@
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 
-# Changes in one write.
+# Changes that a write can contain.
 
 
 @dataclasses.dataclass(frozen=True)
-class KeepJob:
-  """A new job; only if no shard has one of its id."""
+class StoreJob:
+  """Store a new job, provided that no shard has a job of the same id."""
 
   job: model.Job
 
 
 @dataclasses.dataclass(frozen=True)
-class KeepProgress:
-  """What is over of a job by now."""
+class StoreProgress:
+  """Store a job's current progress."""
 
   job_id: str
   progress: model.Progress
 
 
 @dataclasses.dataclass(frozen=True)
-class KeepEnd:
-  """A job is over."""
+class StoreEnd:
+  """Store a job's final state."""
 
   job_id: str
-  state: model.KeptState
+  state: model.KeptJobState
 
 
 @dataclasses.dataclass(frozen=True)
-class ForgetJob:
-  """A job that has long been over is not known any more."""
+class DeleteJob:
+  """Delete a job whose retention period after its end has passed."""
 
   job_id: str
 
 
 @dataclasses.dataclass(frozen=True)
 class MoveJob:
-  """A job goes over to another shard's records, whose holder will find it there.
+  """Move a job to another shard's records, where that shard's holder finds it.
 
   Attributes:
-    kept: the job, and what is over of it.
-    to: the shard.
+    kept: the job and its progress.
+    to: the destination shard.
   """
 
   kept: model.KeptJob
   to: model.Shard
 
 
-Change = KeepJob | KeepProgress | KeepEnd | ForgetJob | MoveJob
+Change = StoreJob | StoreProgress | StoreEnd | DeleteJob | MoveJob
 
 # Effects.
 
 
 @dataclasses.dataclass(frozen=True)
-class LoadKept:
-  """Take the shard's records over and read them; see `KeptLoaded`."""
+class LoadKeptJobs:
+  """Take over the shard's records and read its unfinished jobs.
+
+  The result arrives as `KeptJobsLoaded`.
+  """
 
   shard: model.Shard
   fence: int
 
 
 @dataclasses.dataclass(frozen=True)
-class WriteKept:
-  """Write changes, all or none; see `KeptWritten`.
+class WriteKeptJobs:
+  """Write changes atomically; the result arrives as `KeptJobsWritten`.
 
   Attributes:
-    shard: whose records.
+    shard: the shard whose records change.
     fence: the owner's fence number.
     number: rises with each write of this owner.
-    after: the store's revision at the write before.
-    changes: at most `keeping.MAX_CHANGES`.
+    after: the store's revision after the previous write.
+    changes: the changes, at most `keptrecords.MAX_CHANGES`.
   """
 
   shard: model.Shard
@@ -91,16 +95,16 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ListEnded:
-  """Find the shard's jobs that are over; see `EndedListed`."""
+class ListEndedJobs:
+  """List the shard's finished jobs; the result is `EndedJobsListed`."""
 
   shard: model.Shard
   fence: int
 
 
 @dataclasses.dataclass(frozen=True)
-class ListOpen:
-  """Read the shard's jobs that are not over; see `OpenListed`."""
+class ListOpenJobs:
+  """Read the shard's unfinished jobs; the result is `OpenJobsListed`."""
 
   shard: model.Shard
   fence: int
@@ -110,26 +114,27 @@
 
 
 class WriteResult(enum.Enum):
-  """What came of a `WriteKept`; while none is known it is tried again."""
+  """Result of a `WriteKeptJobs`, which is retried until its result is known."""
 
   DONE = "done"
-  # Nothing was written: some of the new jobs' ids are in the store already.
+  # Nothing was written because the store already has some new jobs' ids.
   EXISTS = "exists"
-  # Nothing was written, nor will be: another holder writes there.
+  # Nothing was or will be written because another holder owns the records.
   REPLACED = "replaced"
 
 
 @dataclasses.dataclass(frozen=True)
-class KeptLoaded:
-  """A shard's records were taken over.
+class KeptJobsLoaded:
+  """A `LoadKeptJobs` completed.
 
   Attributes:
-    shard: which.
-    fence: of the `LoadKept`.
-    replaced: True if another holder has the shard by now; the rest is empty.
+    shard: the shard.
+    fence: the fence number of the `LoadKeptJobs`.
+    replaced: True if another holder owns the shard by now; the remaining
+      fields are then empty.
     takeovers: how often the records were taken over before.
-    revision: the store's, for the first write.
-    jobs: those that are not over.
+    revision: the store's revision, which the first write depends on.
+    jobs: the unfinished jobs.
   """
 
   shard: model.Shard
@@ -141,16 +146,16 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class KeptWritten:
-  """What came of a `WriteKept`.
+class KeptJobsWritten:
+  """A `WriteKeptJobs` completed.
 
   Attributes:
-    shard: which.
-    fence: of the write.
-    number: the write's.
-    result: what came of it.
-    revision: the store's, for the next write.
-    existing: new jobs' ids that are in the store already.
+    shard: the shard.
+    fence: the fence number of the write.
+    number: the number of the write.
+    result: the write's result.
+    revision: the store's revision, which the next write depends on.
+    existing: ids of new jobs that the store already has.
   """
 
   shard: model.Shard
@@ -162,8 +167,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EndedListed:
-  """Jobs of a shard that are over and still in the store."""
+class EndedJobsListed:
+  """A shard's finished jobs that are still in the store."""
 
   shard: model.Shard
   fence: int
@@ -171,8 +176,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class OpenListed:
-  """A shard's jobs that are not over; some may have been moved there."""
+class OpenJobsListed:
+  """A shard's unfinished jobs, including any that were moved to it."""
 
   shard: model.Shard
   fence: int
@@ -180,16 +185,16 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class QuestionArrived:
-  """A caller asks for a kept job's state, or to cancel it.
+class KeptJobQueryArrived:
+  """A caller queries a kept job's state or requests its cancellation.
 
   Attributes:
-    request_id: the shell's number for the request.
+    request_id: number that the I/O shell assigned to the request.
     job_id: the job.
-    shard: whose holder has it.
-    cancel: True to cancel it.
-    deadline_s: how long the caller waits.
-    trace: the caller's own id for the request, for the logs.
+    shard: the shard whose records contain the job.
+    cancel: True to cancel the job, False to query its state.
+    deadline_s: how long the caller waits, in seconds from now.
+    trace_id: the caller's own id for the request, for the logs.
   """
 
   request_id: int
@@ -197,26 +202,32 @@
   shard: model.Shard
   cancel: bool
   deadline_s: float
-  trace: str = ""
+  trace_id: str = ""
 
 
 # Messages between a coordinator and a holder.
 
 
 @dataclasses.dataclass(frozen=True)
-class Asked:
-  """A coordinator asks a holder for a kept job's state, or to cancel it."""
+class KeptJobQuery:
+  """A coordinator queries a kept job's state or requests its cancellation."""
 
   shard: model.Shard
-  party: linkmessages.Party
+  process: linkmessages.HostProcess
   job_id: str
   cancel: bool
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
-  """A holder's word on it: how far the job is, or None if it isn't there."""
+class KeptJobReply:
+  """A holder's reply to a `KeptJobQuery`.
+
+  Attributes:
+    job_id: the job.
+    cancel: the query's `cancel`.
+    state: the job's state; None if the holder does not know the job.
+  """
 
   job_id: str
   cancel: bool
-  state: model.KeptState | None
+  state: model.KeptJobState | None
--- a/fescueturn/scheduler/link.capnp
+++ b/fescueturn/scheduler/link.capnp
@@ -1,6 +1,6 @@
 @0xd0c1f3a95b7e4a21;
 # Messages between a coordinator and the holder of a shard. The coordinator
-# opens the connection and begins with hello; both sides then send at any time.
+# opens the connection and sends hello first; then both ends send at any time.
 
 struct Step {
   count @0 :UInt32;
@@ -41,9 +41,10 @@
   shard @1 :UInt16;
   jobId @2 :Text;
   number @16 :UInt16;
-  # Of a ping, the sender's clock; a pong returns it.
+  # In a ping, the sender's clock in seconds; the pong echoes it.
   at @24 :Float64;
-  # The version of the holder's roster: the one known, or the one in force.
+  # Version of the holder's roster: in a ping, the version that the sender has;
+  # in a pong, the current version.
   roster @25 :UInt32;
 
   union {
@@ -66,7 +67,8 @@
     pong :group {
       holding @11 :Bool;
       pending @20 :List(Pending);
-      # The roster itself, where the ping named another version.
+      # True if endpoints contains the roster, which is sent only if the ping's
+      # version differs.
       hasEndpoints @26 :Bool;
       endpoints @27 :List(Text);
       agreed @30 :List(Doubt);
--- a/fescueturn/scheduler/link.py
+++ b/fescueturn/scheduler/link.py
@@ -1,8 +1,8 @@
 """Connections between coordinators and holders: Cap'n Proto over TCP.
 
-A coordinator opens one connection to each holder's host; both sides send at
-any time and never wait for the other to read. A connection on which nothing
-comes back is closed and opened anew, since it may be silent for good.
+A coordinator opens one connection to each holder's host. Both ends send at any
+time and never block on the peer's reading. A connection on which no response
+arrives within `RECEIVE_TIMEOUT_S` is closed and reopened, since it may be dead.
 """
 
 import collections
@@ -19,20 +19,21 @@
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 
-# A connection inside a region is made within 2 ms; one that takes this long
-# leads nowhere.
+# Connecting within a region takes at most 2 ms, so an attempt that takes this
+# long will not succeed.
 CONNECT_TIMEOUT_S = 0.6
-# Pings go every 100 ms and are answered at once; six without an answer.
-SILENCE_S = 0.6
-# What may wait for one peer: some 3,000 jobs of 1,200 bytes. A peer that reads
-# slower than that has lost its connection's worth.
-MAX_WAITING_BYTES = 4 * 1024 * 1024
+# Pings are sent every 100 ms and answered at once, so six in a row have gone
+# unanswered by then.
+RECEIVE_TIMEOUT_S = 0.6
+# Limit on the data queued for one peer: some 3,000 jobs of 1,200 bytes. A peer
+# that falls further behind reads too slowly to be of use.
+MAX_QUEUED_BYTES = 4 * 1024 * 1024
 
 _HELLO_SHARD = model.Shard("")
 
 
 class _Outbox:
-  """Messages on their way out on one connection, sent in order."""
+  """Send queue of one connection; messages are sent in order."""
 
   def __init__(self, sock):
     self._sock = sock
@@ -42,12 +43,12 @@
     self._task = None
 
   async def start(self):
-    """Starts sending."""
+    """Starts the task that sends queued messages."""
     self._task = await curio.spawn(self._run, daemon=True)
 
   async def put(self, data: bytes) -> bool:
-    """Adds a message; returns False if the peer reads too slowly."""
-    if self._size + len(data) > MAX_WAITING_BYTES:
+    """Queues a message; returns False if the queue is full."""
+    if self._size + len(data) > MAX_QUEUED_BYTES:
       return False
     self._waiting.append(data)
     self._size += len(data)
@@ -64,7 +65,7 @@
         self._size = 0
         await self._sock.sendall(data)
     except OSError as exc:
-      # The reader of the same connection sees its end and reports it.
+      # The reader of the same connection also fails and reports the loss.
       logger.debug("event=link_send_failed error={!r}", exc)
 
   async def close(self):
@@ -74,58 +75,62 @@
     await self._sock.close()
 
 
-OnMessage = Callable[[linkmessages.Party, model.Shard, object], Awaitable[None]]
+OnMessage = Callable[
+    [linkmessages.HostProcess, model.Shard, object], Awaitable[None]
+]
 
 
 class LinkServer:
-  """Takes coordinators' connections; `start` listens, `close` stops."""
+  """Accepts coordinators' connections between `start` and `close`."""
 
   def __init__(self, address: settings.Address, on_message: OnMessage):
     self._on_message = on_message
     self._listener = listener.Listener(address, self._serve)
-    self._outboxes: dict[linkmessages.Party, _Outbox] = {}
+    self._outboxes: dict[linkmessages.HostProcess, _Outbox] = {}
 
   async def start(self):
-    """Listens for coordinators."""
+    """Starts listening for coordinators."""
     await self._listener.start()
 
-  async def send(self, party: linkmessages.Party, shard: model.Shard, message):
-    """Sends a message to a coordinator; one that is not connected misses it."""
-    outbox = self._outboxes.get(party)
+  async def send(
+      self, process: linkmessages.HostProcess, shard: model.Shard, message
+  ):
+    """Sends a message to a coordinator; drops it if that is not connected."""
+    outbox = self._outboxes.get(process)
     if outbox is None:
-      logger.debug("event=link_send_missed host={}", party.host)
+      logger.debug("event=link_send_missed host={}", process.host)
       return
     if not await outbox.put(linkcodec.encode(shard, message)):
-      logger.warning("event=link_overfull host={}", party.host)
-      del self._outboxes[party]
+      logger.warning("event=link_overfull host={}", process.host)
+      del self._outboxes[process]
       await outbox.close()
 
   async def _serve(self, sock):
     listener.impatient(sock)
     outbox = _Outbox(sock)
-    party = None
+    process = None
     try:
       stream = sock.as_stream()
       _, hello = linkcodec.decode(await framing.read_message(stream), None)
       if not isinstance(hello, linkcodec.Hello):
-        raise ConnectionError("no hello")
-      party = hello.party
+        raise ConnectionError("first message on the link is not a hello")
+      process = hello.process
       await outbox.start()
-      self._outboxes[party] = outbox
+      self._outboxes[process] = outbox
       while True:
         data = await framing.read_message(stream)
-        shard, message = linkcodec.decode(data, party)
-        await self._on_message(party, shard, message)
-    except (OSError, linkcodec.MalformedError) as exc:
-      host = party.host if party else "unknown"
+        shard, message = linkcodec.decode(data, process)
+        await self._on_message(process, shard, message)
+    except (OSError, linkcodec.MalformedMessageError) as exc:
+      host = process.host if process else "unknown"
       logger.info('event=link_closed peer={} error="{}"', host, exc)
     finally:
-      if party is not None and self._outboxes.get(party) is outbox:
-        del self._outboxes[party]
+      if process is not None and self._outboxes.get(process) is outbox:
+        del self._outboxes[process]
       await outbox.close()
 
   async def close(self):
-    """Stops taking connections and closes those open."""
+    """Stops accepting connections and closes the open ones."""
     await self._listener.close()
     for outbox in list(self._outboxes.values()):
       await outbox.close()
@@ -136,12 +141,12 @@
 
 
 class Link:
-  """A coordinator's connection to one holder's host, opened when needed."""
+  """A coordinator's connection to one holder's host, opened on demand."""
 
   def __init__(
       self,
       address: settings.Address,
-      me: linkmessages.Party,
+      me: linkmessages.HostProcess,
       now: Callable[[], float],
       on_message: Callable[[model.Shard, object], Awaitable[None]],
       on_lost: OnLost,
@@ -154,13 +159,16 @@
     self._outbox: _Outbox | None = None
     self._opening = False
     self._waiting: list[bytes] = []
-    self._heard_at = now()
+    self._last_received_at = now()
     self._reader = None
 
   async def send(self, shard: model.Shard, message):
-    """Sends a message as soon as the connection stands."""
+    """Sends a message, or queues it until the connection is open."""
     data = linkcodec.encode(shard, message)
-    if self._outbox is not None and self._now() - self._heard_at > SILENCE_S:
+    if (
+        self._outbox is not None
+        and self._now() - self._last_received_at > RECEIVE_TIMEOUT_S
+    ):
       await self._drop()
     if self._outbox is not None:
       await self._outbox.put(data)
@@ -188,7 +196,7 @@
     outbox = _Outbox(sock)
     await outbox.start()
     await outbox.put(linkcodec.encode(_HELLO_SHARD, linkcodec.Hello(self._me)))
-    self._heard_at = self._now()
+    self._last_received_at = self._now()
     self._outbox = outbox
     self._opening = False
     waiting, self._waiting = self._waiting, []
@@ -201,10 +209,10 @@
     try:
       while True:
         data = await framing.read_message(stream)
-        self._heard_at = self._now()
+        self._last_received_at = self._now()
         shard, message = linkcodec.decode(data, self._me)
         await self._on_message(shard, message)
-    except (OSError, linkcodec.MalformedError) as exc:
+    except (OSError, linkcodec.MalformedMessageError) as exc:
       logger.info('event=link_closed peer={} error="{}"', self._address, exc)
     if self._outbox is outbox:
       self._outbox = None
@@ -212,7 +220,7 @@
       await self._on_lost(False)
 
   async def _drop(self):
-    """Closes a connection that has gone silent."""
+    """Closes the current connection without reporting its loss."""
     outbox, self._outbox = self._outbox, None
     if self._reader is not None:
       await self._reader.cancel(blocking=False)
--- a/fescueturn/scheduler/linkmessages.py
+++ b/fescueturn/scheduler/linkmessages.py
@@ -1,7 +1,8 @@
-"""Messages between coordinators and holders, and what names their parts.
+"""Messages between coordinators and holders, and the ids that they contain.
 
-`linkcodec` gives their form on a link. A holder takes those of a coordinator as
-events; a coordinator hears those of a holder in an `events.Heard`.
+`linkcodec` encodes them for a link. At the holder, a coordinator's message is
+itself an event; at the coordinator, a holder's message arrives wrapped in an
+`events.HolderMessageReceived`.
 """
 
 import dataclasses
@@ -10,8 +11,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Party:
-  """A host process at the other end of a link (or this one itself)."""
+class HostProcess:
+  """Identifies one process of a host; `boot` changes when it restarts."""
 
   host: str
   boot: str
@@ -19,56 +20,58 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobKey:
-  """A job in the hands of one coordinator.
+  """Identifies a job at one coordinator.
 
-  Two hosts may be given the same id when a caller sends a job again.
+  The coordinator is part of the key because two hosts may get the same job id
+  when a caller submits a job again.
   """
 
-  party: Party
+  process: HostProcess
   job_id: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Offered:
-  """A coordinator offers a job (a message too).
+  """A coordinator offers a job to a shard's holder.
 
   Attributes:
-    shard: whose holder it is offered to.
+    shard: the shard whose holder gets the offer.
     key: the job and its coordinator.
-    job: what to run.
-    age_s: how long ago the job reached its coordinator.
-    left_s: how much longer its caller waits.
-    resumed: True when another holder had the job before: runs that still
-      go on are the job's own.
-    number: tells the offers of one job apart.
-    at_once: True to have it taken only if nothing of it has to wait.
+    job: the job to run.
+    age_s: time since the job reached its coordinator.
+    remaining_s: how much longer the caller waits.
+    resumed: True if another holder had the job before; its runs that are
+      still active then belong to the job.
+    number: distinguishes the offers of one job.
+    immediate_only: True if the holder should accept the job only if none of
+      its tasks has to wait for capacity.
   """
 
   shard: model.Shard
   key: JobKey
   job: model.Job
   age_s: float
-  left_s: float
+  remaining_s: float
   resumed: bool = False
   number: int = 0
-  at_once: bool = False
+  immediate_only: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class Withdrawn:
-  """A coordinator gives a job up (a message too): its runs are stopped."""
+  """A coordinator abandons a job, whose runs are to be stopped."""
 
   shard: model.Shard
   key: JobKey
 
 
 @dataclasses.dataclass(frozen=True)
-class Doubt:
-  """A holder that a host of its data centre doesn't hear any more.
+class SuspectedHolder:
+  """A holder that a host of its data centre suspects to have failed.
 
   Attributes:
-    shard: which it holds.
-    fence: the fence number of its claim.
+    shard: the holder's shard.
+    fence: the fence number of the holder's claim.
   """
 
   shard: model.Shard
@@ -77,30 +80,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ping:
-  """A coordinator is alive (a message too).
+  """A coordinator's heartbeat to a shard's holder.
 
   Attributes:
-    shard: whose holder is told.
-    party: the coordinator.
-    at: the coordinator's clock (s); the answer returns it.
-    roster: the version of the holder's roster that it knows, 0 for none;
-      None if it wants none.
-    can_hold: True if the coordinator's host could carry the shard: it stands in
-      its data centre, has the processor, and isn't stopping.
-    doubts: holders of the coordinator's data centre that it doesn't hear.
+    shard: the shard whose holder gets the heartbeat.
+    process: the coordinator.
+    at: the coordinator's clock (s) at sending; echoed in the `Pong`.
+    roster: the version of the holder's roster that the coordinator has; 0 for
+      none; None to request no roster.
+    can_hold: True if the coordinator's host could own the shard: it is in the
+      shard's data centre, has enough CPU, and is not shutting down.
+    suspects: holders in the coordinator's data centre from which it gets no
+      messages.
   """
 
   shard: model.Shard
-  party: Party
+  process: HostProcess
   at: float = 0.0
   roster: int | None = None
   can_hold: bool = False
-  doubts: tuple[Doubt, ...] = ()
+  suspects: tuple[SuspectedHolder, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-  """The holder took the job; its tasks may start from now on."""
+  """The holder accepted the job; its tasks may start from now on."""
 
   key: JobKey
   number: int
@@ -108,16 +112,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Declined:
-  """The holder did not take the job: nothing of it has run or will.
+  """The holder declined the job; none of its tasks has run or will run.
 
   Attributes:
     key: the job.
-    number: which of its offers is declined.
-    wait_ms: in how long the holder expects to have room for it; 0 from a
-      host that holds no endpoints.
-    in_time: True if it would be done in time after that wait: the holder was
-      asked to take it only without one.
-    reason: why, in one word, for the logs.
+    number: the number of the declined offer.
+    wait_ms: estimated time until the holder has capacity for the job; 0 from
+      a host that does not own the shard.
+    in_time: True if the job would still complete in time after that wait, so
+      it was declined only because the offer was `immediate_only`.
+    reason: one-word reason, for the logs.
   """
 
   key: JobKey
@@ -129,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobEnded:
-  """The job ended at its holder."""
+  """The holder reports the job's final outcome."""
 
   key: JobKey
   outcome: model.Outcome
@@ -138,31 +142,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Returned:
-  """The holder hands a job back: nothing of it runs there, and nothing will.
+  """The holder returns a job: none of its tasks runs there or will run there.
 
   Attributes:
     key: the job.
-    number: the last of its offers that the holder has seen.
-    ran: True if a task of it may have run.
+    number: the number of the last offer of the job that the holder got.
+    may_have_run: True if any of the job's tasks may have run.
   """
 
   key: JobKey
   number: int
-  ran: bool
+  may_have_run: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class Pong:
-  """The holder is alive.
+  """A holder's response to a `Ping`.
 
   Attributes:
-    holding: False once it stood down.
-    pending: how many of its kept jobs wait to begin, by queue.
-    at: the coordinator's clock when it sent the ping that this answers.
-    roster: the version of its roster in force; 0 while it has none.
-    endpoints: the roster, if the ping named another version: every endpoint
-      where something may run by its orders.
-    agreed: holders that enough hosts doubt.
+    holding: False if the process does not own the shard (any more).
+    pending: number of kept jobs that have not started, by queue.
+    at: the `at` of the ping.
+    roster: the current version of the holder's roster; 0 while it has none.
+    endpoints: the roster, if the ping had another version: every endpoint that
+      may have runs that this holder started.
+    confirmed_suspects: holders that enough hosts suspect to have failed.
   """
 
   holding: bool = True
@@ -170,4 +174,4 @@
   at: float = 0.0
   roster: int = 0
   endpoints: tuple[str, ...] | None = None
-  agreed: tuple[Doubt, ...] = ()
+  confirmed_suspects: tuple[SuspectedHolder, ...] = ()
--- a/fescueturn/scheduler/model.py
+++ b/fescueturn/scheduler/model.py
@@ -1,7 +1,7 @@
-"""What the scheduler knows of jobs, endpoints and routes: frozen types.
+"""Immutable domain types of the scheduler: jobs, endpoints, shards, routes.
 
-Adapters build these from whatever an outside system speaks; nothing in here
-depends on a wire format. Times are in the unit that a field's name ends in.
+The types are independent of any wire or storage format; adapters convert
+between them and external representations. A field's suffix gives its unit.
 """
 
 import dataclasses
@@ -11,35 +11,35 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Room:
-  """Resources of an endpoint, or what one task needs of them.
+class Resources:
+  """Resources that an endpoint provides or that a task requires.
 
   Attributes:
     cpu: thousandths of a core.
     mem_mb: memory in MB.
-    gpu: whole accelerators.
+    gpu: number of accelerators.
   """
 
   cpu: int = 0
   mem_mb: int = 0
   gpu: int = 0
 
-  def fits(self, need: "Room") -> bool:
-    """Returns whether `need` is within this room."""
+  def fits(self, need: "Resources") -> bool:
+    """Returns whether these resources cover `need`."""
     return (
         need.cpu <= self.cpu
         and need.mem_mb <= self.mem_mb
         and need.gpu <= self.gpu
     )
 
-  def minus(self, need: "Room") -> "Room":
-    """Returns what is left once `need` is taken."""
-    return Room(
+  def minus(self, need: "Resources") -> "Resources":
+    """Returns the resources that remain after subtracting `need`."""
+    return Resources(
         self.cpu - need.cpu, self.mem_mb - need.mem_mb, self.gpu - need.gpu
     )
 
-  def count(self, need: "Room") -> int:
-    """Returns how many tasks of `need` fit side by side."""
+  def count(self, need: "Resources") -> int:
+    """Returns how many tasks that need `need` each fit at the same time."""
     pairs = (
         (self.cpu, need.cpu),
         (self.mem_mb, need.mem_mb),
@@ -51,17 +51,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-  """One life of a machine that runs tasks.
+  """One incarnation of a machine that runs tasks.
 
   Attributes:
-    id: names this life; a restarted machine has another.
-    address: where it takes orders.
-    service: the pool it belongs to.
-    data_centre: where it stands.
-    slots: how many tasks it runs at once, whatever their size.
-    draining: True once it is leaving; it gets no new tasks.
-    capacity: its resources.
-    labels: its kind and rack, for tasks that require one.
+    id: identifies the incarnation; a restarted machine gets a new id.
+    address: where the endpoint accepts requests.
+    service: the pool that the endpoint belongs to.
+    data_centre: the data centre that the endpoint is in.
+    slots: maximum number of concurrent tasks, regardless of their resources.
+    draining: True once the endpoint is being shut down; it gets no new tasks.
+    capacity: the endpoint's total resources.
+    labels: the machine's kind and rack, matched by `Step.requires` and
+      `Step.near`.
   """
 
   id: str
@@ -70,26 +71,27 @@
   data_centre: str
   slots: int
   draining: bool
-  capacity: Room
+  capacity: Resources
   labels: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-  """Tasks of a job that are alike.
+  """A group of identical tasks of a job.
 
   Attributes:
-    count: how many tasks.
-    need: what each takes of an endpoint.
-    estimate_ms: the caller's rough guess of a task's run time.
-    after: numbers of the steps that must be done first.
+    count: number of tasks.
+    need: resources that each task occupies on its endpoint.
+    estimate_ms: the caller's estimate of a task's run time.
+    after: indices of the steps that must complete before this one.
     requires: a label that the endpoint must have; "" for none.
-    near: the rack whose endpoints run it fastest; "" for any.
-    most_per_endpoint: most of its tasks on one endpoint; 0 for no limit.
+    near: the rack whose endpoints run the tasks fastest; "" for any.
+    most_per_endpoint: maximum number of the step's tasks on one endpoint; 0
+      for no limit.
   """
 
   count: int
-  need: Room
+  need: Resources
   estimate_ms: int
   after: tuple[int, ...] = ()
   requires: str = ""
@@ -99,19 +101,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-  """A caller's job with the terms of its queue at the time it came.
+  """A caller's job, with its queue's terms at the time of submission.
 
   Attributes:
     id: the caller's id; a resubmission has the same.
-    service: the pool of endpoints that runs it.
-    spec: what the tasks run, passed on as it came.
-    steps: its tasks.
-    attempts: runs of one task that may fail before the job fails.
-    stretch: the objective in multiples of the longest chain of work.
-    slo_ms: the objective's fixed part.
+    service: the pool of endpoints that runs the job.
+    spec: what the tasks run, passed on unchanged.
+    steps: the job's tasks.
+    attempts: how many runs of one task may fail before the job fails.
+    stretch: latency objective as a multiple of the job's critical path.
+    slo_ms: constant part of the latency objective.
     queue: the queue's name.
-    kept: True for a job that is stored before it is accepted and outlives
-      every host; False for one that lives while its caller waits.
+    kept: True for a kept job, which is durable: it is stored before it is
+      accepted and survives the loss of any host. False for a job that is
+      dropped when its caller stops waiting.
   """
 
   id: str
@@ -126,13 +129,13 @@
 
   @property
   def task_count(self) -> int:
-    """How many tasks the job has."""
+    """Total number of tasks in all steps."""
     return sum(step.count for step in self.steps)
 
 
 @dataclasses.dataclass(frozen=True)
 class Task:
-  """One task of a job: its step and its number in it."""
+  """Identifies a task of a job by its step and its index in the step."""
 
   job_id: str
   step: int
@@ -141,14 +144,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunId:
-  """One run of a task; `attempt` tells the task's runs apart."""
+  """Identifies one run of a task; `attempt` rises with each run."""
 
   task: Task
   attempt: int
 
 
-class KeptState(enum.Enum):
-  """How far a kept job is, as the store has it."""
+class KeptJobState(enum.Enum):
+  """State of a kept job in the store."""
 
   OPEN = "open"
   DONE = "done"
@@ -158,14 +161,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Progress:
-  """What is over of a kept job.
+  """Recorded progress of a kept job.
 
   Attributes:
-    done: its tasks that ended well.
-    failed: its runs that failed.
-    crashed: its tasks and the endpoints that crashed under each.
-    lost: its tasks and the endpoints lost under each that may have crashed, with
-      their addresses.
+    done: tasks that succeeded.
+    failed: runs that failed.
+    crashed: pairs of a task and an endpoint that crashed while running it.
+    lost: triples of a task, an endpoint that was lost while running it and
+      may have crashed, and that endpoint's address.
   """
 
   done: tuple[Task, ...] = ()
@@ -176,84 +179,91 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeptJob:
-  """A kept job that is not over, as the store has it."""
+  """An unfinished kept job as recorded in the store."""
 
   job: Job
   progress: Progress
 
 
 class Outcome(enum.Enum):
-  """How a job ended, as its caller is told."""
+  """Outcome of a job or of a request about it, as reported to the caller."""
 
   DONE = "done"
   FAILED = "failed"
-  # Nothing of it ran and nothing will.
+  # No task ran and none will.
   NOT_RUN = "not_run"
-  # Given up after something may have run.
+  # The job was abandoned after some of its tasks may have run.
   UNKNOWN = "unknown"
-  # Stored: it will run, whatever becomes of its caller.
+  # The job is stored and will run even if its caller disconnects.
   KEPT = "kept"
-  # It was cancelled: nothing of it starts any more.
+  # The job was cancelled; no more of its tasks will start.
   CANCELLED = "cancelled"
 
 
-class EndHow(enum.Enum):
-  """How a run ended at its endpoint."""
+class RunOutcome(enum.Enum):
+  """Outcome of a run at its endpoint."""
 
   DONE = "done"
   FAILED = "failed"
-  # Stopped, its lease over, or broken off for another reason.
+  # Stopped, expired with its lease, or aborted for another reason.
   LOST = "lost"
 
 
 class CallResult(enum.Enum):
-  """What came of a call to an endpoint."""
+  """Result of a call to an endpoint."""
 
   OK = "ok"
-  # A host with a higher fence number has taken the endpoint over.
+  # The endpoint has seen a higher fence number, so another host owns it.
   FENCED = "fenced"
-  # A run of the task with this or a higher number has been there.
+  # The endpoint has seen a run of the task with this or a higher attempt.
   OLD_ATTEMPT = "old_attempt"
   # The call's deadline had passed on the endpoint's clock.
   LATE = "late"
   NO_ROOM = "no_room"
-  # The endpoint is unhealthy and did nothing.
+  # The endpoint is unhealthy and rejected the call without executing it.
   BUSY = "busy"
   REJECTED = "rejected"
-  # Another life of the machine answered: this one is gone.
+  # Another incarnation of the machine answered; the one called has ended.
   GONE = "gone"
-  # No connection: the endpoint surely did nothing.
+  # The connection failed, so the call certainly had no effect.
   NOT_SENT = "not_sent"
-  # The call may have been carried out, or may still be.
+  # The response is missing; the call may have been or may still be executed.
   NO_ANSWER = "no_answer"
 
 
 @dataclasses.dataclass(frozen=True)
-class Running:
-  """A run that an endpoint lists as running; `percent` of it is done."""
+class ActiveRun:
+  """A run that an endpoint reports as running, with its progress."""
 
   run: RunId
   percent: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
-  """A run that an endpoint lists as ended; `number` rises by endpoint."""
+class EndedRun:
+  """A run that an endpoint reports as ended.
+
+  Attributes:
+    number: sequence number of the end at this endpoint.
+    run: the run that ended.
+    how: the run's outcome.
+  """
 
   number: int
   run: RunId
-  how: EndHow
+  how: RunOutcome
 
 
 @dataclasses.dataclass(frozen=True)
 class Holder:
-  """The host that owns a shard of endpoints, as the store names it.
+  """The holder of a shard: the host whose claim on it is in the store.
 
   Attributes:
-    host: its name.
-    boot: its process, to tell it from one restarted under the same name.
-    peer: where it takes messages from other hosts.
-    fence: the store's revision of its claim; rises with each new holder.
+    host: the host's name.
+    boot: identifies the process; changes when the process restarts.
+    peer: address for messages from other hosts.
+    fence: fencing token: the store's revision of the claim, which rises with
+      each new holder.
   """
 
   host: str
@@ -264,7 +274,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shard:
-  """A part of a data centre's endpoints that is owned as one."""
+  """A subset of a data centre's endpoints that one host owns as a unit."""
 
   data_centre: str
   number: int = 0
@@ -272,7 +282,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Queue:
-  """A queue of jobs: where its requests come in and on what terms they run."""
+  """A job queue: its route, and the limits and objectives of its jobs.
+
+  Attributes:
+    name: the queue's name.
+    host: value of the Host header that selects the queue.
+    prefix: path prefix that selects the queue.
+    service: the pool of endpoints that runs its jobs.
+    attempts: see `Job.attempts`.
+    stretch: see `Job.stretch`.
+    slo_ms: see `Job.slo_ms`.
+    timeout_ms: the configured timeout of its jobs.
+    priority: the configured priority.
+    needs_advice: True if the queue is under a policy; its jobs are refused.
+  """
 
   name: str
   host: str
@@ -288,10 +311,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Evacuation:
-  """The operator's request that nothing more starts in a data centre.
+  """The operator's request to start no new tasks in a data centre.
 
   Attributes:
-    data_centre: which one.
+    data_centre: the data centre to evacuate.
     revision: the store's revision of the request.
   """
 
@@ -301,7 +324,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RequestLimits:
-  """Limits of the caller's HTTP requests that the operator sets."""
+  """Limits on callers' HTTP requests, as configured by the operator."""
 
   header_bytes: int = 16384
   body_bytes: int = 262144
@@ -316,5 +339,5 @@
   version: int
   queues: tuple[Queue, ...] = ()
   limits: RequestLimits = RequestLimits()
-  # Every pool of endpoints that it names.
+  # All pools of endpoints that the configuration mentions.
   services: frozenset[str] = frozenset()
--- a/fescueturn/scheduler/routes.py
+++ b/fescueturn/scheduler/routes.py
@@ -1,10 +1,10 @@
-"""Which queue a request belongs to: by host and longest path prefix."""
+"""Routing of requests to queues by host and longest path prefix."""
 
 from fescueturn.scheduler import model
 
 
 class RouteTable:
-  """The queues of one configuration, by host; read-only once made."""
+  """Routing table of one configuration's queues; immutable."""
 
   def __init__(self, config: model.Config):
     self._config = config
@@ -16,11 +16,11 @@
 
   @property
   def config(self) -> model.Config:
-    """The configuration that the table is made of."""
+    """The configuration that the table was built from."""
     return self._config
 
   def find(self, host: str, path: str) -> model.Queue | None:
-    """Returns the queue of a request, or None.
+    """Returns the queue that a request is routed to, or None.
 
     Args:
       host: the request's Host header; a port is ignored.
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -1,7 +1,8 @@
-"""Records and messages of a host that runs an earlier build, as bytes.
+"""Compatibility of stored records and messages with the previous build.
 
-Hosts are replaced one after the other: the next build reads what the one before
-left in the store, and the two exchange messages while both run.
+The bytes were recorded with the previous build. During a rolling upgrade a new
+host reads records that an old one stored, and the two exchange messages, so a
+change of either format breaks the upgrade.
 """
 
 import base64
@@ -21,7 +22,7 @@
 from fescueturn.scheduler import model
 from tests import test_linkcodec
 from tests import test_peer
-from tests import test_platform_keeper
+from tests import test_platform_jobstore
 
 JOB_RECORD = (
     b'{"service":"speller","spec":"spec","steps":[[2,[27000,64,0],200,[],"a",'
@@ -54,12 +55,13 @@
     b'{"name": "e1", "address": "10.0.0.9:80", "data_centre": "north",'
     b' "services": ["speller"], "slots": 8, "leaving": false}'
 )
-# One message a line, in the order of the lists that it is compared with.
-MESSAGES = pathlib.Path(__file__).with_name("recorded_messages.txt")
+# One base64-encoded message a line, in the order of the lists of messages that
+# the tests compare them with.
+RECORDED_MESSAGES = pathlib.Path(__file__).with_name("recorded_messages.txt")
 
 
 def recorded(section: str) -> list[bytes]:
-  lines = MESSAGES.read_text().splitlines()
+  lines = RECORDED_MESSAGES.read_text().splitlines()
   begin = lines.index(f"[{section}]") + 1
   found = []
   for line in lines[begin:]:
@@ -69,24 +71,24 @@
   return found
 
 
-def test_kept_jobs_of_the_earlier_build_are_read():
-  memory = test_platform_keeper.MemoryStore()
+def test_kept_jobs_of_the_previous_build_are_readable():
+  memory = test_platform_jobstore.MemoryStore()
   for key, value in STORED.items():
     memory.store.put(key, value)
-  holder = test_platform_keeper.Holder(memory)
-  job = test_platform_keeper.job("k")
+  holder = test_platform_jobstore.Holder(memory)
+  job = test_platform_jobstore.job("k")
   assert holder.loaded.takeovers == 1
   assert holder.loaded.jobs == (model.KeptJob(job, PROGRESS),)
-  assert holder.state("k").state is model.KeptState.OPEN
-  assert holder.state("over").state is model.KeptState.FAILED
+  assert holder.state("k").state is model.KeptJobState.OPEN
+  assert holder.state("over").state is model.KeptJobState.FAILED
 
 
-def test_kept_jobs_are_written_as_the_earlier_build_reads_them():
-  memory = test_platform_keeper.MemoryStore()
-  holder = test_platform_keeper.Holder(memory)
-  job = test_platform_keeper.job("k")
-  holder.write(keptevents.KeepJob(job))
-  holder.write(keptevents.KeepProgress("k", PROGRESS))
+def test_kept_jobs_are_written_as_the_previous_build_writes_them():
+  memory = test_platform_jobstore.MemoryStore()
+  holder = test_platform_jobstore.Holder(memory)
+  job = test_platform_jobstore.job("k")
+  holder.write(keptevents.StoreJob(job))
+  holder.write(keptevents.StoreProgress("k", PROGRESS))
   found = {item.key: item.value for item in memory.store.range("")}
   del found[CLAIM_KEY]
   assert found == {
@@ -95,17 +97,17 @@
   }
 
 
-def test_claim_of_the_earlier_build_names_its_holder():
-  shard = claims._shard(CLAIM_KEY)
-  holder = claims._holder(kvtypes.Item(CLAIM_KEY, 7, CLAIM))
+def test_claim_of_the_previous_build_is_readable_and_written_unchanged():
+  shard = claims._parse_shard(CLAIM_KEY)
+  holder = claims._decode_holder(kvtypes.Item(CLAIM_KEY, 7, CLAIM))
   peer = settings.Address("10.0.0.1", 7720)
   assert shard == model.Shard("north", 0)
   assert holder == model.Holder("h", "b", peer, 7)
-  party = linkmessages.Party("h", "b")
-  assert claims.Claims(None, party, peer)._value == CLAIM
+  process = linkmessages.HostProcess("h", "b")
+  assert claims.Claims(None, process, peer)._value == CLAIM
 
 
-def test_member_and_endpoint_of_the_earlier_build_are_read_and_written():
+def test_member_and_endpoint_records_match_the_previous_build():
   member = membership.parse_member("/members/entry-1", MEMBER)
   peer = settings.Address("10.0.0.1", 7720)
   assert member == entry_events.Member("entry-1", peer, "b", 4, True, "r1")
@@ -122,9 +124,9 @@
     ("message", "data"),
     zip(test_linkcodec.MESSAGES, recorded("link"), strict=True),
 )
-def test_messages_between_hosts_are_those_of_the_earlier_build(message, data):
+def test_link_messages_match_the_previous_build(message, data):
   assert linkcodec.encode(test_linkcodec.SHARD, message) == data
-  assert linkcodec.decode(data, test_linkcodec.PARTY) == (
+  assert linkcodec.decode(data, test_linkcodec.PROCESS) == (
       test_linkcodec.SHARD,
       message,
   )
@@ -134,7 +136,7 @@
     ("request_", "data"),
     zip(test_peer.REQUESTS, recorded("requests"), strict=True),
 )
-def test_requests_of_entry_hosts_are_those_of_the_earlier_build(request_, data):
+def test_peer_requests_match_the_previous_build(request_, data):
   assert peercodec.encode_request(9, request_) == data
   assert peercodec.decode_request(data) == (9, request_)
 
@@ -143,6 +145,6 @@
     ("reply", "data"),
     zip(test_peer.REPLIES, recorded("replies"), strict=True),
 )
-def test_replies_of_entry_hosts_are_those_of_the_earlier_build(reply, data):
+def test_peer_replies_match_the_previous_build(reply, data):
   assert peercodec.encode_reply(4, "boot-2", reply) == data
   assert peercodec.decode_reply(data) == (4, "boot-2", reply)
