--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -43,7 +43,7 @@
       record.round.replies[name] = ownership.accept(state, request)
     else:
       member = membership.view.member(name)
-      effects.append(events.Ask(member, request, CLAIM_TIMEOUT_S))
+      effects.append(events.SendPeerRequest(member, request, CLAIM_TIMEOUT_S))
   if record.round.complete:
     effects += _decide(state, record)
   return effects
@@ -162,7 +162,7 @@
   if isinstance(waiter.request, messages.Cancel):
     return [jobs.refuse(state, waiter, _owner_lost(waiter.key))]
   answer = _unknown(state, waiter.request)
-  return [events.Settle(waiter.request_id, claims.Outcome(answer=answer))]
+  return [events.SendOutcome(waiter.request_id, claims.Outcome(answer=answer))]
 
 
 def forward_replied(
@@ -175,7 +175,7 @@
   del state.parked[event.ask.request_id]
   waiter = parked.waiter
   if event.reply is not None:
-    return [events.Settle(waiter.request_id, event.reply)]
+    return [events.SendOutcome(waiter.request_id, event.reply)]
   if event.dead:
     state.dead.add(event.ask.member.token)
   state.counters["forward_lost"] += 1
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -28,10 +28,10 @@
   The seeds draw from the `fault_` methods in the order of their names.
   """
 
-  def __init__(self, fleet, seed: int):
-    self._fleet = fleet
+  def __init__(self, emulated_fleet, seed: int):
+    self._fleet = emulated_fleet
     self._rng = random.Random(seed)
-    self._names = list(fleet.endpoints)
+    self._names = list(emulated_fleet.endpoints)
     self._faults = [
         getattr(self, name) for name in dir(self) if name.startswith("fault_")
     ]
@@ -112,12 +112,12 @@
     self._after_random_delay(restore)
 
   def fault_task_crashes_its_endpoints(self):
-    fleet = self._fleet
-    host = self._rng.choice([h for h in fleet.hosts.values() if h.up])
+    emulated_fleet = self._fleet
+    host = self._rng.choice([h for h in emulated_fleet.hosts.values() if h.up])
     name = f"crash{self._rng.random()}"
     wanted = test_kept_jobs.job(name, 2, 200)
     crash_after_s = self._rng.choice((0.001, 0.1))
-    fleet.submit(host.name, wanted, [0.2] * 2, 5.0, crash_after_s)
+    emulated_fleet.submit(host.name, wanted, [0.2] * 2, 5.0, crash_after_s)
 
   def fault_capacity_changes(self):
     endpoint = self._fleet.endpoints[self._rng.choice(self._names)]
@@ -134,14 +134,16 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_invariants_hold_and_most_jobs_complete(seed):
-  fleet = fleets.fleet(seed=seed)
+  emulated_fleet = fleets.fleet(seed=seed)
   requests = fleets.submit_load(
-      fleet, list(fleet.hosts.values()), LOAD_S, LOAD_PER_S
+      emulated_fleet, list(emulated_fleet.hosts.values()), LOAD_S, LOAD_PER_S
   )
-  Faults(fleet, seed).plan()
-  fleet.clock.run_until(END_S)
-  assert fleet.broken == []
-  answered = [fleet.answers[r] for r in requests if r in fleet.answers]
+  Faults(emulated_fleet, seed).plan()
+  emulated_fleet.clock.run_until(END_S)
+  assert emulated_fleet.broken == []
+  answered = [
+      emulated_fleet.answers[r] for r in requests if r in emulated_fleet.answers
+  ]
   done = sum(a.answer.outcome is model.Outcome.DONE for a in answered)
   assert done > 0.6 * len(requests)
 
@@ -152,15 +154,15 @@
   With the lease's end rounded down, the expiry check ran while the lease was
   still valid, and the lease never ended.
   """
-  fleet = fleets.fleet()
-  endpoint = fleet.add_endpoint("e", "a")
+  emulated_fleet = fleets.fleet()
+  endpoint = emulated_fleet.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
-    fleet.task_profiles[task] = fleets.fleet_lib.endpoint_lib.TaskProfile(
-        fleets.NEED, 60.0, False
+    emulated_fleet.task_profiles[task] = (
+        fleets.fleet_lib.endpoint_lib.TaskProfile(fleets.NEED, 60.0, False)
     )
     run = model.RunId(task, 1)
     deadline_ms = endpoint.clock_ms + 7 + number % 3
     endpoint.start(events.StartRun(endpoint.info, run, "", deadline_ms, 9999))
-    fleet.clock.run_until(fleet.clock.now + 0.013)
+    emulated_fleet.clock.run_until(emulated_fleet.clock.now + 0.013)
     assert not endpoint.running
