--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -54,7 +54,7 @@
     return jobs.refuse_all(state, record, jobs.unclaimed_error(record))
   if not record.retry_pending:
     record.retry_pending = True
-    state.at(state.now + RETRY_S, lambda s: _retry(s, record))
+    state.schedule(state.now + RETRY_S, lambda s: _retry(s, record))
   return []
 
 
@@ -65,9 +65,11 @@
   return start(state, record)
 
 
-def replied(state: state_lib.EntryState, event: events.PeerReplied) -> list:
+def replied(
+    state: state_lib.EntryState, event: events.PeerReplyReceived
+) -> list:
   """Takes one holder's verdict, or its silence."""
-  request = event.ask.message
+  request = event.request.message
   record = state.jobs.get(request.claim.key)
   if record is None or record.phase is not state_lib.Phase.CLAIMING:
     return []
@@ -76,7 +78,7 @@
     return []
   if record.number != request.claim.number:
     return []
-  name = event.ask.member.name
+  name = event.request.member.name
   round_.replies[name] = event.reply
   if event.dead:
     round_.dead.add(name)
@@ -103,7 +105,7 @@
   if not any(r.trusted for r in replies):
     return _retry_later(state, record)
   _keep_own(state, record)
-  return jobs.run(state, record)
+  return jobs.start_tasks(state, record)
 
 
 def _keep_own(state, record):
@@ -130,18 +132,18 @@
     )
     return jobs.refuse_all(state, record, error)
   if best.answer is not None:
-    return jobs.settle(state, record, best.answer)
+    return jobs.finish_job(state, record, best.answer)
   if lives(best):
     member = view.member(best.owner.name)
     waiters = list(record.waiters)
-    effects = jobs.forget(state, record)
+    effects = jobs.discard_record(state, record)
     for waiter in waiters:
-      effects += pass_to(state, waiter, member)
+      effects += forward_or_fail(state, waiter, member)
     return effects
   if record.cancelled:
     return jobs.refuse_all(state, record, _owner_lost(record.job.key))
   answer = _unknown(state, record.job)
-  return jobs.settle(state, record, answer)
+  return jobs.finish_job(state, record, answer)
 
 
 def _unknown(state, job: messages.Job) -> messages.JobAnswer:
@@ -155,7 +157,9 @@
   )
 
 
-def pass_to(state, waiter: state_lib.Waiter, member: events.Member) -> list:
+def forward_or_fail(
+    state, waiter: state_lib.Waiter, member: events.Member
+) -> list:
   """Forwards a request, or ends it truthfully after too many hops."""
   if waiter.hops < MAX_HOPS:
     return [jobs.forward(state, waiter, member)]
@@ -166,21 +170,21 @@
 
 
 def forward_replied(
-    state: state_lib.EntryState, event: events.PeerReplied
+    state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
   """A forwarded request came back: its outcome, or a lost coordinator."""
-  parked = state.parked.get(event.ask.request_id)
-  if parked is None or parked.member != event.ask.member:
+  parked = state.forwarded_requests.get(event.request.request_id)
+  if parked is None or parked.member != event.request.member:
     return []
-  del state.parked[event.ask.request_id]
+  del state.forwarded_requests[event.request.request_id]
   waiter = parked.waiter
   if event.reply is not None:
     return [events.SendOutcome(waiter.request_id, event.reply)]
   if event.dead:
-    state.dead.add(event.ask.member.token)
+    state.dead.add(event.request.member.token)
   state.counters["forward_lost"] += 1
   again = state_lib.Waiter(waiter.request_id, waiter.request, waiter.hops + 1)
-  return jobs.arrive(state, again)
+  return jobs.handle_request(state, again)
 
 
 def view_changed(state: state_lib.EntryState) -> list:
@@ -191,8 +195,8 @@
       effects += start(state, record)
   view = state.membership.view
   state.dead = {t for t in state.dead if view.runs(t)}
-  for request_id, parked in list(state.parked.items()):
+  for request_id, parked in list(state.forwarded_requests.items()):
     if not view.runs(parked.member.token):
-      del state.parked[request_id]
-      effects += jobs.arrive(state, parked.waiter)
+      del state.forwarded_requests[request_id]
+      effects += jobs.handle_request(state, parked.waiter)
   return effects
--- a/fescueturn/httpio.py
+++ b/fescueturn/httpio.py
@@ -98,7 +98,7 @@
   return Response(status, body, head)
 
 
-def closing(response: Response) -> Response:
+def with_connection_close(response: Response) -> Response:
   """Returns `response`, told to end its connection."""
   return dataclasses.replace(
       response, headers=response.headers + (("connection", "close"),)
@@ -299,7 +299,7 @@
       payload += part.data
     return Response(status, bytes(payload), out_headers)
 
-  def quiet(self) -> bool:
+  def is_alive(self) -> bool:
     """True unless the server closed the connection (or sent unasked)."""
     poller = select.poll()
     poller.register(self.sock.fileno(), select.POLLIN)
@@ -370,7 +370,7 @@
   async def _connect(self) -> _ClientConnection:
     while self._idle:
       client = self._idle.pop()
-      if client.quiet():
+      if client.is_alive():
         return client
       await client.sock.close()
     try:
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -116,7 +116,7 @@
     gone = membership.view.member(member.name) is None
     if gone and not member.leaving and member.name != state.name:
       membership.departed[member.name] = member
-      state.at(state.now + grace, _forget_departed(member))
+      state.schedule(state.now + grace, _forget_departed(member))
 
 
 def _forget_departed(member: events.Member) -> state_lib.TimerCallback:
@@ -161,30 +161,32 @@
 
 
 def sync_replied(
-    state: state_lib.EntryState, event: events.PeerReplied
+    state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
   """Takes one host's claims; asks again while it is not ready."""
   membership = state.membership
   for claim in event.reply.claims if event.reply is not None else ():
     state.claims.merge(claim, state.now)
-  name = event.ask.member.name
+  name = event.request.member.name
   sync = membership.sync
-  if sync is None or event.ask.message.view != membership.view.digest:
+  if sync is None or event.request.message.view != membership.view.digest:
     return []
   if event.dead or (event.reply is not None and event.reply.ready):
     membership.departed.pop(name, None)
     return _answered(state, name)
-  state.at(state.now + SYNC_RETRY_S, _ask_again(sync, event.ask.member))
+  state.schedule(
+      state.now + SYNC_RETRY_S, _ask_again(sync, event.request.member)
+  )
   return []
 
 
 def _ask_again(sync, member: events.Member) -> state_lib.TimerCallback:
-  def ask(state: state_lib.EntryState) -> list:
+  def request(state: state_lib.EntryState) -> list:
     if state.membership.sync is sync and member.name in sync.awaiting:
       return [_sync_ask(state, member)]
     return []
 
-  return ask
+  return request
 
 
 def _answered(state: state_lib.EntryState, name: str) -> list:
@@ -221,15 +223,15 @@
 
 
 def probe_replied(
-    state: state_lib.EntryState, event: events.PeerReplied
+    state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
   """Counts a promise, or a member that surely no longer runs."""
   membership = state.membership
   round_ = membership.probe
-  if round_ is None or event.ask.message.view != round_.view:
+  if round_ is None or event.request.message.view != round_.view:
     return []
   if event.dead or (event.reply is not None and event.reply.agrees):
-    round_.awaiting.discard(event.ask.member.name)
+    round_.awaiting.discard(event.request.member.name)
     _finish_probe(state)
   return []
 
--- a/fescueturn/platform/callers.py
+++ b/fescueturn/platform/callers.py
@@ -166,7 +166,7 @@
     response = await self._route(request)
     state = self._host.state
     if state.draining or not state.coordinator.serves:
-      return httpio.closing(response)
+      return httpio.with_connection_close(response)
     return response
 
   async def _route(self, request: httpio.Request) -> httpio.Response:
--- a/fescueturn/platform/store.py
+++ b/fescueturn/platform/store.py
@@ -70,7 +70,7 @@
       address,
       limit=limit,
       connect_s=CONNECT_TIMEOUT_S,
-      prepare=listener.impatient,
+      prepare=listener.enable_dead_peer_detection,
   )
 
 
--- a/fescueturn/reducer.py
+++ b/fescueturn/reducer.py
@@ -60,23 +60,23 @@
 
 def _on_request(state, event: events.JobArrived) -> list:
   waiter = state_lib.Waiter(event.request_id, event.job, event.hops)
-  return jobs.arrive(state, waiter)
+  return jobs.handle_request(state, waiter)
 
 
 def _on_cancel(state, event: events.CancelArrived) -> list:
   waiter = state_lib.Waiter(event.request_id, event.cancel, event.hops)
-  return jobs.arrive(state, waiter)
+  return jobs.handle_request(state, waiter)
 
 
-def _on_peer(state, event: events.PeerAsked) -> list:
+def _on_peer(state, event: events.PeerRequestReceived) -> list:
   """Answers a peer's message."""
   message = event.message
   if isinstance(message, claims.ForwardJob):
     waiter = state_lib.Waiter(event.request_id, message.job, message.hops)
-    return jobs.arrive(state, waiter)
+    return jobs.handle_request(state, waiter)
   if isinstance(message, claims.ForwardCancel):
     waiter = state_lib.Waiter(event.request_id, message.cancel, message.hops)
-    return jobs.arrive(state, waiter)
+    return jobs.handle_request(state, waiter)
   if isinstance(message, claims.Release):
     state.claims.release(message)
     return []
@@ -84,7 +84,7 @@
     state.claims.merge(message.claim, state.now)
     return []
   reply = _ANSWERS[type(message)](state, message)
-  return [events.PeerAnswer(event.request_id, reply)]
+  return [events.SendPeerReply(event.request_id, reply)]
 
 
 _ANSWERS = {
@@ -94,8 +94,8 @@
 }
 
 
-def _on_peer_reply(state, event: events.PeerReplied) -> list:
-  return _REPLIES[type(event.ask.message)](state, event)
+def _on_peer_reply(state, event: events.PeerReplyReceived) -> list:
+  return _REPLIES[type(event.request.message)](state, event)
 
 
 _REPLIES = {
@@ -154,8 +154,8 @@
 _HANDLERS = {
     events.JobArrived: _on_request,
     events.CancelArrived: _on_cancel,
-    events.PeerAsked: _on_peer,
-    events.PeerReplied: _on_peer_reply,
+    events.PeerRequestReceived: _on_peer,
+    events.PeerReplyReceived: _on_peer_reply,
     events.StoreClaimed: baseline.store_claimed,
     events.TaskFinished: jobs.task_finished,
     events.EndpointsChanged: _on_endpoints,
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -141,11 +141,13 @@
     if frozenset((letter.source, target)) in self.cut:
       self._lost(letter)
     elif letter.reply is not None:
-      self._back(letter.source, events.PeerReplied(letter.effect, letter.reply))
+      self._back(
+          letter.source, events.PeerReplyReceived(letter.effect, letter.reply)
+      )
     elif self._runs(letter.effect.member):
       self._hand_over(letter)
     elif isinstance(letter.effect, events.SendPeerRequest):
-      event = events.PeerReplied(letter.effect, None, dead=True)
+      event = events.PeerReplyReceived(letter.effect, None, dead=True)
       self._back(letter.source, event)
 
   def finish_task(self, index, code=codes.Code.TASK_DONE):
@@ -170,11 +172,11 @@
     name = letter.effect.member.name
     if isinstance(letter.effect, events.SendPeerRequest):
       self.asked[number] = letter
-    self._apply(name, events.PeerAsked(number, letter.effect.message))
+    self._apply(name, events.PeerRequestReceived(number, letter.effect.message))
 
   def _lost(self, letter):
     if isinstance(letter.effect, events.SendPeerRequest):
-      self._back(letter.source, events.PeerReplied(letter.effect, None))
+      self._back(letter.source, events.PeerReplyReceived(letter.effect, None))
 
   def _back(self, name, event):
     if name in self.hosts:
@@ -185,7 +187,7 @@
     for effect in reducer.reduce(state, event, self.now):
       if isinstance(effect, (events.SendPeerRequest, events.SendPeerNotice)):
         self.letters.append(Letter(name, effect))
-      elif isinstance(effect, (events.PeerAnswer, events.SendOutcome)):
+      elif isinstance(effect, (events.SendPeerReply, events.SendOutcome)):
         self._answered(effect)
       elif isinstance(effect, events.SendTask):
         self.starts[effect.downstream_key] += 1
