--- a/fescueturn/standins/standin_endpoint.py
+++ b/fescueturn/standins/standin_endpoint.py
@@ -50,7 +50,7 @@
     self._open = 0
 
   @property
-  def record(self) -> kvtypes.HostRecord:
+  def host_record(self) -> kvtypes.HostRecord:
     """This endpoint as the platform's host list should show it."""
     return kvtypes.HostRecord(
         name=self._process.name,
@@ -74,7 +74,7 @@
 
   async def _list(self):
     """Writes this endpoint's entry of the host list."""
-    puts = {self.record.key: self.record.encode()}
+    puts = {self.host_record.key: self.host_record.encode()}
     await self._kv.transact(kvtypes.Transaction(puts=puts))
 
   async def leave(self):
@@ -92,7 +92,7 @@
     while self._open:
       await curio.sleep(0.05)
     try:
-      removal = kvtypes.Transaction(removes=(self.record.key,))
+      removal = kvtypes.Transaction(removes=(self.host_record.key,))
       await self._kv.transact(removal)
     except errors.KvError as exc:
       logger.warning("event=unlist_failed error={!r}", exc)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -28,7 +28,9 @@
   return sum(endpoint.superseded for endpoint in made.endpoints.values())
 
 
-def submit(made, host: str, name: str, crash_s: float | None, kept_job=True):
+def submit_job(
+    made, host: str, name: str, crash_s: float | None, kept_job=True
+):
   make_job = kept.job if kept_job else fleets.job
   new_job = make_job(name, 2, 400)
   return made.submit(host, new_job, [0.4] * 2, 20.0, crash_s)
@@ -37,7 +39,7 @@
 @pytest.mark.parametrize("crash_s", CRASH_S)
 def test_kept_job_that_crashes_its_endpoints_fails(crash_s):
   made = fleets.fleet()
-  submit(made, "a0", "bad", crash_s)
+  submit_job(made, "a0", "bad", crash_s)
   made.clock.run_until(20)
   assert made.kept_store.states["bad"] is model.KeptJobState.FAILED
   assert count_starts(made, "bad") <= MAX_STARTS
@@ -48,7 +50,7 @@
 @pytest.mark.parametrize("crash_s", CRASH_S)
 def test_caller_gets_failure_early_if_its_task_crashes_endpoints(crash_s):
   made = fleets.fleet()
-  request = submit(made, "a0", "bad", crash_s, kept_job=False)
+  request = submit_job(made, "a0", "bad", crash_s, kept_job=False)
   made.clock.run_until(20)
   answered = made.answers[request].answer
   assert answered.outcome is model.Outcome.FAILED
@@ -60,7 +62,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_losses_are_counted_across_holder_failovers(seed):
   made = fleets.fleet(seed=seed)
-  submit(made, "a0", "bad", 0.05)
+  submit_job(made, "a0", "bad", 0.05)
   for number in range(4):
     when = made.rng.uniform(0.3, 1.5) * (number + 1)
 
@@ -78,7 +80,7 @@
 
 def test_job_whose_endpoints_were_unreachable_is_not_failed():
   made = fleets.fleet()
-  submit(made, "a0", "good", None)
+  submit_job(made, "a0", "good", None)
   for _ in range(4):
     made.clock.run_until(made.clock.now + 0.1)
     for endpoint in made.endpoints.values():
@@ -97,7 +99,7 @@
   for number in range(3):
     made.clock.at(
         2.0 + number,
-        lambda n=number: submit(made, "a0", f"bad{n}", 0.05),
+        lambda n=number: submit_job(made, "a0", f"bad{n}", 0.05),
     )
   made.clock.run_until(25)
   found = fleets.count_outcomes(made, requests)
@@ -111,7 +113,7 @@
 
 def test_draining_endpoints_do_not_count_as_losses():
   made = fleets.fleet()
-  submit(made, "a0", "good", None)
+  submit_job(made, "a0", "good", None)
   made.clock.run_until(1.1)
   (owner,) = fleets.owner_of(made, "a").state.owners.values()
   (record,) = [r for r in owner.endpoints.values() if r.runs][:1]
