--- a/fescueturn/scheduler/ownerstate.py
+++ b/fescueturn/scheduler/ownerstate.py
@@ -1,44 +1,45 @@
-"""What the owner of a shard knows: its endpoints and the jobs it took."""
+"""State of a shard's owner: its endpoints and the jobs that it accepted."""
 
 import collections
 import dataclasses
 import enum
 
 from fescueturn import settings
-from fescueturn.scheduler import doubts
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import evacuation
 from fescueturn.scheduler import events
-from fescueturn.scheduler import keeping
-from fescueturn.scheduler import ledger
+from fescueturn.scheduler import keptrecords
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
-from fescueturn.scheduler import patience
+from fescueturn.scheduler import reservations
 from fescueturn.scheduler import roster
-from fescueturn.scheduler import shares
-
-# A new holder takes jobs unseen for so long, until it knows its endpoints: the
-# store's list takes 6 ms and the endpoints' answers 2 ms, on a busy host 30.
-ASK_S = 0.1
-# Ends found on taking over, of runs whose job is not known yet, are kept
-# until the coordinators have offered their jobs.
-EARLY_ENDS_KEEP_S = 2.0
-# Tasks that an earlier holder had and that are not found running wait this
-# long: the list of endpoints may lack some whose entries have lapsed with a
-# store that was away. The earlier holder is fenced off at its next lease call
-# (within 0.5 s), and the last lease it asked for lasts 0.84 s more.
-SETTLE_S = 1.5
-# Attempts of a kept job's task are numbered anew by each holder, from as many
-# times this as there were holders before: no holder knows what the one before
-# it ordered last.
+from fescueturn.scheduler import suspicion
+from fescueturn.scheduler import timeouts
+
+# For this long a new holder accepts jobs before it knows what its endpoints are
+# running. The endpoint list takes 6 ms to arrive from the store and the
+# endpoints' answers take 2 ms, or 30 ms on a busy host.
+OPTIMISTIC_ADMISSION_S = 0.1
+# How long the results of runs whose job is unknown are kept after a takeover,
+# so that the coordinators have time to offer their jobs.
+EARLY_RESULT_TTL_S = 2.0
+# How long tasks of the previous holder that are not found running wait before
+# they are started again. The endpoint list may lack endpoints whose entries
+# expired while the store was unavailable. The previous holder is fenced off at
+# its next lease call (within 0.5 s), and its last lease ends 0.84 s later.
+RECOVERY_TIMEOUT_S = 1.5
+# Each holder numbers the attempts of a kept job's tasks from this figure times
+# the number of previous holders, because it doesn't know the last attempt that
+# the holder before it started.
 ATTEMPTS_PER_HOLDER = 1000
 
 
 class TaskState(enum.Enum):
-  """Where a task of an accepted job stands."""
+  """The state of one task of an accepted job."""
 
   BLOCKED = "blocked"
   WAITING = "waiting"
-  # One run of it is ordered, at work or being settled.
+  # One run of it is ordered or running, or its result is not known yet.
   ACTIVE = "active"
   DONE = "done"
 
@@ -53,19 +54,21 @@
     self.attempt = 0
     # Attempts that failed.
     self.failed: set[int] = set()
-    # Endpoints lost under it: those that surely crashed, and those in doubt.
+    # Endpoints that were lost while they ran this task: those known to have
+    # crashed, and those that may have crashed.
     self.crashed: set[str] = set()
-    self.lost_with: dict[str, settings.Address] = {}
+    self.lost_endpoints: dict[str, settings.Address] = {}
     self.run: model.RunId | None = None
     self.endpoint = ""
-    # The endpoint where a run of it was stopped for being slow, if any.
+    # The endpoint where one of its runs was stopped for being slow, if any.
     self.moved_from = ""
-    # A run of an earlier try at the job that may still go on.
-    self.previous: model.RunId | None = None
+    # A run started by a previous holder, or for an earlier submission of the
+    # job, that may still be running.
+    self.previous_run: model.RunId | None = None
 
   @property
   def estimate_s(self) -> float:
-    """How long it is expected to run."""
+    """The expected run time (s)."""
     return self.step.estimate_ms / 1000
 
 
@@ -77,12 +80,15 @@
     job: what to run.
     arrived: when it reached its coordinator, on this host's clock (s).
     deadline: when its caller stops waiting (s).
-    latest_start: its place in the queue: when its first tasks should start.
+    latest_start: when its first tasks should start to meet the objective (s);
+      jobs are started in this order.
     tasks: its tasks by name.
-    resumed: True if an earlier holder, or an earlier try, had it.
+    waiting: its tasks that can start now.
+    unfinished: how many tasks of each step are not done.
+    resumed: True if a previous holder had it, or it was submitted before.
     begun: True once a run of it was ordered.
-    offer_number: the last of its offers.
-    returning: True once it is to be handed back as soon as none of it runs.
+    offer_number: the number of the latest offer of it.
+    returning: True if it is to be handed back once none of its runs is active.
   """
 
   def __init__(
@@ -92,7 +98,7 @@
     self.key = offer.key
     self.job = offer.job
     self.arrived = now - offer.age_s
-    self.deadline = now + offer.left_s
+    self.deadline = now + offer.remaining_s
     self.latest_start = latest_start
     self.resumed = offer.resumed
     self.begun = offer.resumed
@@ -100,7 +106,7 @@
     self.returning = False
     self.tasks: dict[model.Task, TaskRecord] = {}
     self.waiting: list[TaskRecord] = []
-    self.left = [step.count for step in self.job.steps]
+    self.unfinished = [step.count for step in self.job.steps]
     for number, step in enumerate(self.job.steps):
       for index in range(step.count):
         task = model.Task(self.job.id, number, index)
@@ -109,57 +115,63 @@
 
   @property
   def done(self) -> bool:
-    """True when every task has ended well."""
-    return not any(self.left)
+    """True when every task has succeeded."""
+    return not any(self.unfinished)
 
   @property
   def active(self) -> bool:
-    """True while a run of it may go on."""
+    """True while one of its runs may still be active."""
     return any(
-        task.state is TaskState.ACTIVE or task.previous is not None
+        task.state is TaskState.ACTIVE or task.previous_run is not None
         for task in self.tasks.values()
     )
 
   @property
   def started(self) -> bool:
-    """True when a task of it is at work, or was done."""
+    """True when one of its tasks is active or done."""
     states = (TaskState.ACTIVE, TaskState.DONE)
     return any(task.state in states for task in self.tasks.values())
 
   def offer(self, now: float) -> linkmessages.Offered:
-    """Returns the job as its coordinator would offer it now."""
+    """Returns the offer that its coordinator would make now."""
     return dataclasses.replace(
-        self._offer, age_s=now - self.arrived, left_s=self.deadline - now
+        self._offer, age_s=now - self.arrived, remaining_s=self.deadline - now
     )
 
   def release_steps(self):
-    """Makes the tasks wait whose earlier steps are all done."""
+    """Queues the blocked tasks whose preceding steps are all done."""
     for record in self.tasks.values():
       if record.state is TaskState.BLOCKED and not any(
-          self.left[i] for i in record.step.after
+          self.unfinished[i] for i in record.step.after
       ):
         record.state = TaskState.WAITING
         self.waiting.append(record)
 
   def task_done(self, record: TaskRecord):
-    """Notes a task that ended well."""
+    """Marks a task as done."""
     if record.state is TaskState.WAITING:
       self.waiting.remove(record)
     record.state = TaskState.DONE
     record.run = None
-    self.left[record.task.step] -= 1
-    if not self.left[record.task.step]:
+    self.unfinished[record.task.step] -= 1
+    if not self.unfinished[record.task.step]:
       self.release_steps()
 
-  def task_waits(self, record: TaskRecord):
-    """Has a task wait for another run."""
+  def requeue_task(self, record: TaskRecord):
+    """Puts a task at the head of the queue for another run."""
     record.state = TaskState.WAITING
     record.run = None
     self.waiting.insert(0, record)
 
 
-class Loss:
-  """An endpoint that fell silent under tasks: its address, when, and which."""
+class SuspectedCrash:
+  """An endpoint that may have crashed while it ran tasks.
+
+  Attributes:
+    address: where it took orders.
+    since: when it was lost (s).
+    tasks: the tasks that it was running.
+  """
 
   def __init__(self, address: settings.Address, since: float):
     self.address = address
@@ -168,159 +180,160 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EarlyEnd:
-  """Ends of a task that were listed before its job was known here.
+class EarlyResult:
+  """Results of a task that were reported before its job was known here.
 
   Attributes:
-    attempt: the last of its runs that ended.
-    how: how that one ended, or DONE if any was done.
-    until: when to forget this (s).
-    failed: attempts that failed.
+    attempt: the highest attempt that ended.
+    how: how that attempt ended, or DONE if any attempt succeeded.
+    until: when to forget the results (s).
+    failed: the attempts that failed.
   """
 
   attempt: int
-  how: model.EndHow
+  how: model.RunOutcome
   until: float
   failed: frozenset[int] = frozenset()
 
 
 @dataclasses.dataclass(frozen=True)
-class _Size:
-  """What an endpoint takes at once: tasks, and their resources."""
+class _EndpointSize:
+  """How many tasks, and which resources, an endpoint offers at once."""
 
   slots: int
-  capacity: model.Room
+  capacity: model.Resources
 
 
 class Owner:
-  """The state of one shard's owner; lives from claim to loss of the shard."""
+  """The state of one shard's owner, from claiming the shard to losing it."""
 
   def __init__(
       self,
       shard: model.Shard,
       fence: int,
       now: float,
-      ended_kept_s: float = 0.0,
-      left: frozenset[str] | None = None,
+      ended_job_retention_s: float = 0.0,
+      previous_roster: frozenset[str] | None = None,
       evacuations: evacuation.Evacuations | None = None,
   ):
     self.shard = shard
     self.fence = fence
     self.now = now
-    self._evacuations = evacuations or evacuation.Evacuations(known=True)
+    self._evacuations = evacuations or evacuation.Evacuations(loaded=True)
     self.roster = roster.Roster()
-    # Endpoints where something of the holder before may run, and that have not
-    # told yet; None where it isn't known which.
-    self.unheard = None if left is None else set(left)
-    # How long kept jobs that are over stay known.
-    self.ended_kept_s = ended_kept_s
-    self.keeper = keeping.Keeper()
-    self.endpoints: dict[str, ledger.EndpointRecord] = {}
-    # Lives that are over though they are listed: another answers there.
-    self.gone: set[tuple[str, settings.Address]] = set()
-    # By service, how many listed endpoints of each size there are.
-    self._sizes: dict[str, collections.Counter[_Size]] = {}
+    # Endpoints that may run tasks of the previous holder and have not reported
+    # yet; None if it is unknown which they are.
+    self.unreported = None if previous_roster is None else set(previous_roster)
+    # How long finished kept jobs stay known (s).
+    self.ended_job_retention_s = ended_job_retention_s
+    self.kept_records = keptrecords.KeptRecords()
+    self.endpoints: dict[str, endpointstate.EndpointRecord] = {}
+    # Incarnations that are listed although another one answers at the address.
+    self.dead_incarnations: set[tuple[str, settings.Address]] = set()
+    # The number of listed endpoints of each size, by service.
+    self._sizes: dict[str, collections.Counter[_EndpointSize]] = {}
     self.jobs: dict[linkmessages.JobKey, JobRecord] = {}
     self.by_id: dict[str, JobRecord] = {}
-    self.heard: dict[linkmessages.Party, float] = {}
-    # Hosts that could carry the shard, and when each was last heard from.
-    self.successors: dict[linkmessages.Party, float] = {}
-    # Holders of other data centres that hosts there don't hear.
-    self.doubts = doubts.Doubts()
-    self.losses = patience.Losses()
-    # When the list of endpoints was last read.
+    self.last_contact: dict[linkmessages.HostProcess, float] = {}
+    # Hosts that could take the shard over, with the time of the last ping.
+    self.successors: dict[linkmessages.HostProcess, float] = {}
+    # Holders of other data centres that hosts there report as silent.
+    self.holder_suspicions = suspicion.SuspicionTracker()
+    self.call_losses = timeouts.CallLossRate()
+    # When the endpoint list was last received.
     self.listed_at: float | None = None
-    self.early_ends: dict[model.Task, EarlyEnd] = {}
-    # Endpoints lost under tasks, of which it is in doubt whether they crashed.
-    self.lost_under: dict[str, Loss] = {}
-    # When an endpoint last crashed at an address.
+    self.early_results: dict[model.Task, EarlyResult] = {}
+    # Endpoints lost while running tasks that may or may not have crashed.
+    self.suspected_crashes: dict[str, SuspectedCrash] = {}
+    # When an endpoint at the address last crashed.
     self.crashed_at: dict[settings.Address, float] = {}
-    self.demand = shares.Demand()
+    self.demand = reservations.Demand()
     self.fenced = False
-    self.patient_until = now
+    self.ignore_silence_until = now
     self.taken_at = now
     self.counters: collections.Counter[str] = collections.Counter()
     self.effects: list[events.Effect] = []
 
   @property
   def evacuated(self) -> bool:
-    """True while the operator wants nothing new to start here."""
+    """True while the operator has this data centre evacuated."""
     return self._evacuations.evacuated(self.shard.data_centre)
 
   @property
   def may_start(self) -> bool:
-    """True if tasks may start here, as far as the operator is concerned."""
+    """True if no evacuation keeps tasks from starting here."""
     return self._evacuations.may_start(self.shard.data_centre)
 
   @property
-  def settled(self) -> bool:
-    """True once all that an earlier holder started is known, or over."""
-    if self.unheard is not None and not self.unheard:
+  def recovered(self) -> bool:
+    """True once all runs of the previous holder are known or have expired."""
+    if self.unreported is not None and not self.unreported:
       return True
-    return self.now - self.taken_at > SETTLE_S
+    return self.now - self.taken_at > RECOVERY_TIMEOUT_S
 
   @property
-  def just_taken(self) -> bool:
-    """True while no endpoint has had the time to answer this new holder."""
-    return self.now - self.taken_at < ASK_S and not any(
-        record.known for record in self.endpoints.values()
+  def awaiting_endpoints(self) -> bool:
+    """True until an endpoint has answered this new holder, for a short time."""
+    return self.now - self.taken_at < OPTIMISTIC_ADMISSION_S and not any(
+        record.runs_known for record in self.endpoints.values()
     )
 
-  def list_sizes(self, listed: tuple[model.Endpoint, ...]):
-    """Takes the sizes of all endpoints, those of other shards among them."""
+  def set_endpoint_sizes(self, listed: tuple[model.Endpoint, ...]):
+    """Records the sizes of all endpoints, including those of other shards."""
     self._sizes = {}
     for endpoint in listed:
-      size = _Size(endpoint.slots, endpoint.capacity)
+      size = _EndpointSize(endpoint.slots, endpoint.capacity)
       counts = self._sizes.setdefault(endpoint.service, collections.Counter())
       counts[size] += 1
 
-  def places(self, service: str, need: model.Room) -> int:
-    """Returns how many tasks of `need` all listed endpoints run at once."""
+  def total_slots(self, service: str, need: model.Resources) -> int:
+    """Returns how many tasks of `need` all listed endpoints can run at once."""
     counts = self._sizes.get(service, {})
     return sum(
         count * min(size.slots, size.capacity.count(need))
         for size, count in counts.items()
     )
 
-  def heard_from(self, endpoint: str):
-    """Notes that an endpoint told what runs there, or that it is over."""
-    if self.unheard is not None:
-      self.unheard.discard(endpoint)
+  def endpoint_reported(self, endpoint: str):
+    """Records that an endpoint has listed its runs, or no longer exists."""
+    if self.unreported is not None:
+      self.unreported.discard(endpoint)
 
-  def out(self, *effects: events.Effect):
-    """Adds effects to carry out."""
+  def emit(self, *effects: events.Effect):
+    """Queues effects for the I/O shell to carry out."""
     self.effects += effects
 
   def take_effects(self) -> list[events.Effect]:
-    """Returns the effects gathered since the last call."""
+    """Returns the effects queued since the last call."""
     effects, self.effects = self.effects, []
     return effects
 
-  def tell(self, party: linkmessages.Party, message):
-    """Has a message sent to a coordinator."""
-    self.out(events.TellCoordinator(party, self.shard, message))
+  def send_to_coordinator(self, process: linkmessages.HostProcess, message):
+    """Queues a message to a coordinator."""
+    self.emit(events.SendToCoordinator(process, self.shard, message))
 
   def snapshot(self) -> dict:
     """Returns a JSON-ready dump."""
     return {
         "shard": [self.shard.data_centre, self.shard.number],
         "fence": self.fence,
-        "settled": self.settled,
+        "settled": self.recovered,
         "jobs": len(self.jobs),
         "waiting_tasks": sum(len(j.waiting) for j in self.jobs.values()),
         "coordinators": {
-            p.host: round(self.now - at, 3) for p, at in self.heard.items()
+            p.host: round(self.now - at, 3)
+            for p, at in self.last_contact.items()
         },
         "endpoints": {
             name: record.snapshot(self.now)
             for name, record in sorted(self.endpoints.items())
         },
-        "kept": self.keeper.snapshot(),
+        "kept": self.kept_records.snapshot(),
         "counters": dict(self.counters),
     }
 
 
-def endpoint_log(event: str, record: ledger.EndpointRecord, **fields):
+def endpoint_log(event: str, record: endpointstate.EndpointRecord, **fields):
   """Returns a log line about an endpoint."""
   return events.log(
       event,
@@ -331,7 +344,7 @@
   )
 
 
-def run_log(event: str, record, run: ledger.Run, **fields):
+def run_log(event: str, record, run: endpointstate.Run, **fields):
   """Returns a log line about a run."""
   task = run.id.task
   return events.log(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,38 +4,38 @@
 from fescueturn.scheduler import model
 from fescueturn.scheduler import routes
 
-NEED = model.Room(27000, 64, 0)
+NEED = model.Resources(27000, 64, 0)
 
 
 def job(*steps: model.Step) -> model.Job:
   return model.Job("j", "s", "", steps, 1, 1.6, 60)
 
 
-def test_chain_follows_the_steps_that_wait_for_each_other():
+def test_critical_path_follows_the_dependent_steps():
   steps = (
       model.Step(1, NEED, 100),
       model.Step(1, NEED, 300),
       model.Step(1, NEED, 200, (0, 1)),
   )
-  assert admission.chain_s(job(*steps), 56) == pytest.approx(0.5)
+  assert admission.critical_path_s(job(*steps), 56) == pytest.approx(0.5)
 
 
 def test_wide_step_is_expected_to_run_in_waves():
   wide = job(model.Step(20, NEED, 60))
-  assert admission.chain_s(wide, 56) == pytest.approx(0.12)
+  assert admission.critical_path_s(wide, 56) == pytest.approx(0.12)
   assert admission.objective_s(wide, 56) == pytest.approx(0.252)
 
 
-def test_tasks_ahead_and_own_tasks_fill_places_in_turn():
-  places = [10.0, 10.0, 10.5]
+def test_tasks_ahead_and_own_tasks_fill_slots_in_turn():
+  slots = [10.0, 10.0, 10.5]
   finish = admission.expected_finish_s
-  assert finish(places, (), 2, 0.2, 10.0) == pytest.approx(0.2)
-  assert finish(places, (), 4, 0.2, 10.0) == pytest.approx(0.4)
-  assert finish(places, (0.3, 0.3), 1, 0.2, 10.0) == pytest.approx(0.5)
+  assert finish(slots, (), 2, 0.2, 10.0) == pytest.approx(0.2)
+  assert finish(slots, (), 4, 0.2, 10.0) == pytest.approx(0.4)
+  assert finish(slots, (0.3, 0.3), 1, 0.2, 10.0) == pytest.approx(0.5)
   assert finish([], (), 1, 0.2, 10.0) is None
 
 
-def test_longest_prefix_of_the_host_finds_the_queue():
+def test_queue_is_found_by_host_and_longest_prefix():
   def queue(name, host, prefix):
     return model.Queue(name, host, prefix, "s", 1, 1.0, 0, 0)
 
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts' reducers joined in an emulated fleet, under failures."""
+"""The schedulers of all hosts of an emulated fleet, under failures."""
 
 import pytest
 
@@ -8,362 +8,367 @@
 from tests import fleets
 
 
-def test_one_host_a_data_centre_owns_its_endpoints():
-  made = fleets.fleet()
+def test_one_host_in_each_data_centre_owns_its_endpoints():
+  sim = fleets.fleet()
   fences = set()
   for zone in fleets.ZONES:
-    (owner,) = fleets.owner_of(made, zone).state.owners.values()
+    (owner,) = fleets.owner_of(sim, zone).state.owners.values()
     assert set(owner.endpoints) == {f"e-{zone}{n}" for n in range(8)}
     fences.add(owner.fence)
   assert len(fences) == 3
 
 
-def test_calm_load_is_answered_whole_and_in_time():
-  made = fleets.fleet()
-  requests = fleets.load(made, list(made.hosts.values()), 10, 60)
-  made.clock.run_until(15)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+def test_light_load_is_answered_completely_and_in_time():
+  sim = fleets.fleet()
+  requests = fleets.load(sim, list(sim.hosts.values()), 10, 60)
+  sim.clock.run_until(15)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
   for request in requests:
-    answer = made.answers[request].answer
+    answer = sim.answers[request].answer
     assert answer.retry_after_s or answer.outcome is not model.Outcome.NOT_RUN
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_takeover_from_a_living_owner_starts_no_task_twice(seed):
-  made = fleets.fleet(seed=seed)
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 6, 40)
-  owner = fleets.owner_of(made, "a")
-  # The store turns the owner away: its claim lapses, another host's holds.
-  made.clock.at(2.0, lambda: owner.cut.add("store"))
-  made.clock.run_until(12)
-  assert fleets.owner_of(made, "a") is not owner
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+def test_takeover_from_a_live_owner_starts_no_task_twice(seed):
+  sim = fleets.fleet(seed=seed)
+  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 6, 40)
+  owner = fleets.owner_of(sim, "a")
+  # The owner is cut off from the store: its claim expires and another host
+  # takes the shard.
+  sim.clock.at(2.0, lambda: owner.cut.add("store"))
+  sim.clock.run_until(12)
+  assert fleets.owner_of(sim, "a") is not owner
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_killed_owner_is_replaced_and_its_runs_go_on(seed):
-  made = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(made, "a")
-  others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.load(made, others, 6, 40)
-  made.clock.at(3.0, lambda: made.kill(owner.name))
-  made.clock.run_until(12)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+def test_killed_owner_is_replaced_and_its_runs_are_adopted(seed):
+  sim = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(sim, "a")
+  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
+  requests = fleets.load(sim, others, 6, 40)
+  sim.clock.at(3.0, lambda: sim.kill(owner.name))
+  sim.clock.run_until(12)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
-  (new_owner,) = fleets.owner_of(made, "a").state.owners.values()
+  (new_owner,) = fleets.owner_of(sim, "a").state.owners.values()
   assert new_owner.counters["adopted"] > 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_is_fenced_off_when_it_wakes(seed):
-  made = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(made, "a")
-  others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.load(made, others, 8, 40)
-  made.clock.at(3.0, lambda: setattr(owner, "frozen", True))
-  made.clock.at(6.0, owner.thaw)
-  made.clock.run_until(14)
-  assert fleets.owner_of(made, "a") is not owner
-  assert made.broken == []
-  assert len(fleets.outcomes(made, requests)) >= 1
-  assert len(made.answers) == len(requests)
+  sim = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(sim, "a")
+  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
+  requests = fleets.load(sim, others, 8, 40)
+  sim.clock.at(3.0, lambda: setattr(owner, "frozen", True))
+  sim.clock.at(6.0, owner.thaw)
+  sim.clock.run_until(14)
+  assert fleets.owner_of(sim, "a") is not owner
+  assert sim.broken == []
+  assert len(fleets.outcomes(sim, requests)) >= 1
+  assert len(sim.answers) == len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_coordinator_killed_its_runs_are_stopped_before_a_resend(seed):
-  made = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(made, "a")
-  first = fleets.other_than(made, owner)
+def test_runs_of_a_killed_coordinator_are_stopped_before_a_resubmission(seed):
+  sim = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(sim, "a")
+  first = fleets.other_than(sim, owner)
   wanted = fleets.job("again", 4, 900)
-  made.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
-  made.clock.run_until(1.1)
-  made.kill(first.name)
-  assert sum(len(e.running) for e in made.endpoints.values()) == 4
-  made.clock.run_until(1.1 + 1.3)
-  assert sum(len(e.running) for e in made.endpoints.values()) == 0
-  second = made.submit(owner.name, wanted, [1.0] * 4, deadline_s=3.0)
-  made.clock.run_until(6)
-  assert made.answers[second].answer.outcome is model.Outcome.DONE
-  assert made.broken == []
-
-
-def test_late_orders_overfill_no_endpoint_and_start_no_task_twice():
-  made = fleets.fleet()
-  fleets.load(made, list(made.hosts.values()), 20, 70)
-  for number, name in enumerate(made.endpoints):
-    endpoint = made.endpoints[name]
+  sim.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
+  sim.clock.run_until(1.1)
+  sim.kill(first.name)
+  assert sum(len(e.running) for e in sim.endpoints.values()) == 4
+  sim.clock.run_until(1.1 + 1.3)
+  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
+  second = sim.submit(owner.name, wanted, [1.0] * 4, deadline_s=3.0)
+  sim.clock.run_until(6)
+  assert sim.answers[second].answer.outcome is model.Outcome.DONE
+  assert sim.broken == []
+
+
+def test_late_orders_overload_no_endpoint_and_start_no_task_twice():
+  sim = fleets.fleet()
+  fleets.load(sim, list(sim.hosts.values()), 20, 70)
+  for number, name in enumerate(sim.endpoints):
+    endpoint = sim.endpoints[name]
     begin = 2.0 + number * 0.6
-    made.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
-    made.clock.at(begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0))
-  made.clock.run_until(30)
-  assert made.broken == []
+    sim.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
+    sim.clock.at(begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0))
+  sim.clock.run_until(30)
+  assert sim.broken == []
 
 
 def test_draining_endpoint_gets_no_new_task():
-  made = fleets.fleet()
-  fleets.load(made, fleets.zone_hosts(made, "a"), 8, 30)
-  made.clock.at(3.0, lambda: made.drain("e-a0"))
-  made.clock.run_until(4.2)
-  before = len(made.endpoints["e-a0"].starts)
-  made.clock.run_until(10)
+  sim = fleets.fleet()
+  fleets.load(sim, fleets.zone_hosts(sim, "a"), 8, 30)
+  sim.clock.at(3.0, lambda: sim.drain("e-a0"))
+  sim.clock.run_until(4.2)
+  before = len(sim.endpoints["e-a0"].starts)
+  sim.clock.run_until(10)
   assert before > 0
-  assert len(made.endpoints["e-a0"].starts) == before
-
-
-def test_caller_that_hangs_up_frees_its_room():
-  made = fleets.fleet()
-  request = made.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
-  made.clock.run_until(1.2)
-  assert sum(len(e.running) for e in made.endpoints.values()) == 4
-  made.hang_up("a0", request)
-  made.clock.run_until(1.3)
-  assert sum(len(e.running) for e in made.endpoints.values()) == 0
-
-
-def test_store_away_changes_nothing_for_callers():
-  made = fleets.fleet()
-  requests = fleets.load(made, list(made.hosts.values()), 8, 50)
-  made.clock.at(2.0, lambda: setattr(made, "store_up", False))
-  made.clock.run_until(14)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  assert len(sim.endpoints["e-a0"].starts) == before
+
+
+def test_caller_that_disconnects_frees_its_resources():
+  sim = fleets.fleet()
+  request = sim.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
+  sim.clock.run_until(1.2)
+  assert sum(len(e.running) for e in sim.endpoints.values()) == 4
+  sim.hang_up("a0", request)
+  sim.clock.run_until(1.3)
+  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
+
+
+def test_unavailable_store_changes_nothing_for_callers():
+  sim = fleets.fleet()
+  requests = fleets.load(sim, list(sim.hosts.values()), 8, 50)
+  sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
+  sim.clock.run_until(14)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
-def test_claim_taken_away_from_a_living_owner_comes_back_to_it():
-  made = fleets.fleet()
-  owner = fleets.owner_of(made, "a")
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 4, 30)
-  made.clock.at(2.0, lambda: made.end_claim(model.Shard("a")))
-  made.clock.run_until(8)
-  assert fleets.owner_of(made, "a") is owner
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+def test_live_owner_that_loses_its_claim_gets_it_back():
+  sim = fleets.fleet()
+  owner = fleets.owner_of(sim, "a")
+  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 4, 30)
+  sim.clock.at(2.0, lambda: sim.end_claim(model.Shard("a")))
+  sim.clock.run_until(8)
+  assert fleets.owner_of(sim, "a") is owner
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_crashed_endpoints_task_runs_again_elsewhere():
-  made = fleets.fleet()
-  request = made.submit("a0", fleets.job("j", 2, 200, 3000), [0.4] * 2, 3.5)
-  made.clock.run_until(1.1)
-  victim = next(e for e in made.endpoints.values() if e.running)
+  sim = fleets.fleet()
+  request = sim.submit("a0", fleets.job("j", 2, 200, 3000), [0.4] * 2, 3.5)
+  sim.clock.run_until(1.1)
+  victim = next(e for e in sim.endpoints.values() if e.running)
   victim.crash()
-  made.clock.run_until(6)
-  assert made.answers[request].answer.outcome is model.Outcome.DONE
-  assert made.broken == []
-
-
-def test_failing_endpoint_is_left_out():
-  made = fleets.fleet()
-  made.endpoints["e-a0"].failing = True
-  # At all data centres: one alone would pass its jobs on rather than let
-  # them wait, and keep the endpoints that it compares with idle.
-  requests = fleets.load(made, list(made.hosts.values()), 6, 60)
-  made.clock.run_until(12)
-  found = fleets.outcomes(made, requests)
+  sim.clock.run_until(6)
+  assert sim.answers[request].answer.outcome is model.Outcome.DONE
+  assert sim.broken == []
+
+
+def test_failing_endpoint_is_quarantined():
+  sim = fleets.fleet()
+  sim.endpoints["e-a0"].failing = True
+  # The load goes to all data centres. A single one would pass jobs on instead
+  # of queueing them, and the endpoints compared below would stay idle.
+  requests = fleets.load(sim, list(sim.hosts.values()), 6, 60)
+  sim.clock.run_until(12)
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
-  starts = {n: len(e.starts) for n, e in made.endpoints.items()}
+  starts = {n: len(e.starts) for n, e in sim.endpoints.items()}
   assert starts["e-a0"] < 0.3 * starts["e-a1"]
 
 
 def test_stuck_run_is_stopped_and_run_elsewhere():
-  made = fleets.fleet()
-  made.endpoints["e-a0"].hanging = True
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 6, 30)
-  made.clock.run_until(12)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  sim = fleets.fleet()
+  sim.endpoints["e-a0"].hanging = True
+  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 6, 30)
+  sim.clock.run_until(12)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_takeover_with_entries_lapsed_starts_no_task_twice(seed):
-  """A new holder's first list may lack endpoints that run its jobs' tasks."""
-  made = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(made, "a")
-  others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  fleets.load(made, others, 6, 60)
-  made.clock.at(2.9, lambda: made.unlisted.update(("e-a0", "e-a1", "e-a2")))
-  made.clock.at(3.0, lambda: made.kill(owner.name))
-  made.clock.at(4.5, made.unlisted.clear)
-  made.clock.run_until(12)
-  assert made.broken == []
-
-
-def test_all_hosts_killed_and_back_serve_within_half_a_second():
-  """The claims in the store name processes that are gone."""
-  made = fleets.fleet()
-  names = [(h.name, h.data_centre) for h in made.hosts.values()]
+def test_takeover_with_expired_entries_starts_no_task_twice(seed):
+  """A new holder's first endpoint list may lack some that run its tasks."""
+  sim = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(sim, "a")
+  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
+  fleets.load(sim, others, 6, 60)
+  sim.clock.at(2.9, lambda: sim.unlisted.update(("e-a0", "e-a1", "e-a2")))
+  sim.clock.at(3.0, lambda: sim.kill(owner.name))
+  sim.clock.at(4.5, sim.unlisted.clear)
+  sim.clock.run_until(12)
+  assert sim.broken == []
+
+
+def test_all_hosts_serve_half_a_second_after_a_restart():
+  """The claims in the store name processes that no longer exist."""
+  sim = fleets.fleet()
+  names = [(h.name, h.data_centre) for h in sim.hosts.values()]
   for name, _ in names:
-    made.kill(name)
-  made.clock.run_until(1.2)
+    sim.kill(name)
+  sim.clock.run_until(1.2)
   for name, zone in names:
-    made.add_host(name, zone)
-  requests = fleets.load(made, list(made.hosts.values()), 1.0, 60)
-  made.clock.run_until(1.6)
-  assert all(fleets.owner_of(made, zone) for zone in fleets.ZONES)
-  made.clock.run_until(6)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+    sim.add_host(name, zone)
+  requests = fleets.load(sim, list(sim.hosts.values()), 1.0, 60)
+  sim.clock.run_until(1.6)
+  assert all(fleets.owner_of(sim, zone) for zone in fleets.ZONES)
+  sim.clock.run_until(6)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
   assert model.Outcome.UNKNOWN not in found
 
 
-def test_one_order_in_ten_lost_takes_no_endpoint_out_of_use():
-  made = fleets.fleet()
-  for endpoint in made.endpoints.values():
+def test_lost_orders_quarantine_no_endpoint():
+  sim = fleets.fleet()
+  for endpoint in sim.endpoints.values():
     endpoint.loses = 0.1
-  requests = fleets.load(made, list(made.hosts.values()), 8, 50)
-  made.clock.run_until(14)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  requests = fleets.load(sim, list(sim.hosts.values()), 8, 50)
+  sim.clock.run_until(14)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
-def test_host_just_started_leaves_a_claim_to_its_living_holder():
-  """The store was away: the claim lapsed, the holder did not."""
-  made = fleets.fleet()
-  owner = fleets.owner_of(made, "a")
-  made.clock.run_until(2.0)
-  made.end_claim(model.Shard("a"))
-  # The holder hears of it late, and a host starts meanwhile.
-  made.add_host("a9", "a")
-  made.clock.run_until(6)
-  assert fleets.owner_of(made, "a") is owner
-
-
-def test_decline_of_an_earlier_offer_does_not_move_a_job_on():
-  """The job was offered again after a pause; the first answer comes late."""
-  made = fleets.fleet()
-  owner = fleets.owner_of(made, "a")
-  host = fleets.other_than(made, owner)
-  request = made.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
+def test_host_just_started_leaves_a_claim_to_its_live_holder():
+  """The claim expires while the store is unavailable, the holder is alive."""
+  sim = fleets.fleet()
+  owner = fleets.owner_of(sim, "a")
+  sim.clock.run_until(2.0)
+  sim.end_claim(model.Shard("a"))
+  # A host starts before the holder learns that its claim has ended.
+  sim.add_host("a9", "a")
+  sim.clock.run_until(6)
+  assert fleets.owner_of(sim, "a") is owner
+
+
+def test_decline_of_an_earlier_offer_does_not_reroute_a_job():
+  """The job is offered again after a pause, then the first answer arrives."""
+  sim = fleets.fleet()
+  owner = fleets.owner_of(sim, "a")
+  host = fleets.other_than(sim, owner)
+  request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
-  record.offers += 1  # As if it had been offered again meanwhile.
+  record.offer_count += 1  # As if it had been offered again meanwhile.
   late = linkmessages.Declined(record.key, 1, 100)
-  host.apply(events.Heard(model.Shard("a"), owner.party, late))
+  host.apply(
+      events.HolderMessageReceived(model.Shard("a"), owner.process, late)
+  )
   assert record.shard == model.Shard("a")
-  assert request not in made.answers
+  assert request not in sim.answers
 
 
-def test_ending_process_answers_whoever_waits():
-  made = fleets.fleet()
-  request = made.submit(
+def test_ending_process_answers_all_waiting_callers():
+  sim = fleets.fleet()
+  request = sim.submit(
       "a0", fleets.job("long", 2, 3000), [3.0] * 2, deadline_s=9.0
   )
-  made.clock.run_until(1.5)
-  made.hosts["a0"].apply(events.DrainStarted())
-  made.clock.run_until(2.5)
-  assert request not in made.answers
-  made.hosts["a0"].apply(events.ProcessEnding())
-  assert made.answers[request].answer.outcome is model.Outcome.UNKNOWN
-  made.clock.run_until(3.0)
-  assert sum(len(e.running) for e in made.endpoints.values()) == 0
+  sim.clock.run_until(1.5)
+  sim.hosts["a0"].apply(events.DrainStarted())
+  sim.clock.run_until(2.5)
+  assert request not in sim.answers
+  sim.hosts["a0"].apply(events.ProcessEnding())
+  assert sim.answers[request].answer.outcome is model.Outcome.UNKNOWN
+  sim.clock.run_until(3.0)
+  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_planned_stops_in_turn_start_no_task_twice(seed):
-  made = fleets.fleet(seed=seed)
-  hosts = list(made.hosts.values())
-  requests = fleets.load(made, hosts, 8, 70)
+  sim = fleets.fleet(seed=seed)
+  hosts = list(sim.hosts.values())
+  requests = fleets.load(sim, hosts, 8, 70)
   for number, zone in enumerate(fleets.ZONES * 2):
     when = 1.5 + number
 
     def stop(zone=zone):
-      owner = fleets.owner_of(made, zone)
+      owner = fleets.owner_of(sim, zone)
       owner.apply(events.DrainStarted())
       hosts.remove(owner)
 
       def restart():
         assert owner.state.idle
-        made.kill(owner.name)
-        hosts.append(made.add_host(owner.name, zone))
+        sim.kill(owner.name)
+        hosts.append(sim.add_host(owner.name, zone))
 
-      made.clock.after(2.6, restart)
+      sim.clock.after(2.6, restart)
 
-    made.clock.at(when, stop)
-  made.clock.run_until(15)
-  assert made.broken == []
-  found = fleets.outcomes(made, requests)
+    sim.clock.at(when, stop)
+  sim.clock.run_until(15)
+  assert sim.broken == []
+  found = fleets.outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.93 * len(requests)
 
 
-def test_job_whose_offer_met_a_replaced_holder_is_never_said_not_to_have_run():
-  """The holder took the job and was replaced before its answer came."""
-  made = fleets.fleet()
-  owner = fleets.owner_of(made, "a")
-  host = fleets.other_than(made, owner)
-  request = made.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
+def test_job_offered_to_a_replaced_holder_is_never_reported_as_not_run():
+  """The holder accepts the job and is replaced before its answer arrives."""
+  sim = fleets.fleet()
+  owner = fleets.owner_of(sim, "a")
+  host = fleets.other_than(sim, owner)
+  request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
   shard = model.Shard("a")
   before = host.state.coordinator.holders[shard].holder
   after = model.Holder("a8", "a8.boot", before.peer, before.fence + 1)
-  # No answer to the offer yet; the next holder has no room, nor has any other.
-  made.hosts["a8"] = host
-  record.tried.update((model.Shard("b"), model.Shard("c")))
+  # The offer is unanswered; neither the next holder nor any other has capacity.
+  sim.hosts["a8"] = host
+  record.declined_by.update((model.Shard("b"), model.Shard("c")))
   host.apply(events.HolderChanged(shard, after))
-  decline = linkmessages.Declined(record.key, record.offers, 100)
-  host.apply(events.Heard(shard, linkmessages.Party("a8", "a8.boot"), decline))
-  answered = made.answers.get(request)
-  assert (
-      answered is None or answered.answer.outcome is not model.Outcome.NOT_RUN
+  decline = linkmessages.Declined(record.key, record.offer_count, 100)
+  host.apply(
+      events.HolderMessageReceived(
+          shard, linkmessages.HostProcess("a8", "a8.boot"), decline
+      )
   )
+  reply = sim.answers.get(request)
+  assert reply is None or reply.answer.outcome is not model.Outcome.NOT_RUN
 
 
-def test_job_whose_offer_has_no_answer_yet_is_never_said_not_to_have_run():
-  """The caller's time is over while the holder's word is on its way."""
-  made = fleets.fleet()
-  owner = fleets.owner_of(made, "a")
-  host = fleets.other_than(made, owner)
-  request = made.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
-  host.cut.add(owner.name)  # The offer is out; no answer comes.
+def test_job_with_an_unanswered_offer_is_never_reported_as_not_run():
+  """The caller's deadline passes while the holder's answer is on its way."""
+  sim = fleets.fleet()
+  owner = fleets.owner_of(sim, "a")
+  host = fleets.other_than(sim, owner)
+  request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
+  host.cut.add(owner.name)  # The offer has been sent; no answer arrives.
   (record,) = host.state.coordinator.jobs.values()
-  record.deadline = made.clock.now
+  record.deadline = sim.clock.now
   host.apply(events.Tick())
-  assert made.answers[request].answer.outcome is model.Outcome.UNKNOWN
+  assert sim.answers[request].answer.outcome is model.Outcome.UNKNOWN
 
 
-def test_job_begins_at_once_in_another_data_centre_rather_than_wait():
-  made = fleets.fleet()
-  fill = made.submit("a0", fleets.job("fill", 18, 150), [0.15] * 18)
-  made.clock.run_until(1.05)
-  request = made.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
-  made.clock.run_until(1.1)
-  began = [
+def test_job_starts_in_another_data_centre_rather_than_wait():
+  sim = fleets.fleet()
+  fill = sim.submit("a0", fleets.job("fill", 18, 150), [0.15] * 18)
+  sim.clock.run_until(1.05)
+  request = sim.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
+  sim.clock.run_until(1.1)
+  started_in = [
       e.info.data_centre
-      for e in made.endpoints.values()
+      for e in sim.endpoints.values()
       for run in e.starts
       if run.task.job_id == "next"
   ]
-  assert len(began) == 2 and "a" not in began
-  made.clock.run_until(2.0)
-  assert made.answers[request].took_s < 0.22
-  assert made.answers[fill].answer.outcome is model.Outcome.DONE
+  assert len(started_in) == 2 and "a" not in started_in
+  sim.clock.run_until(2.0)
+  assert sim.answers[request].took_s < 0.22
+  assert sim.answers[fill].answer.outcome is model.Outcome.DONE
 
 
-def test_job_waits_where_it_waits_least():
-  made = fleets.fleet()
+def test_job_waits_in_the_data_centre_with_the_shortest_wait():
+  sim = fleets.fleet()
   for zone, run_ms in zip(fleets.ZONES, (200, 100, 200), strict=True):
     filling = fleets.job(f"fill-{zone}", 18, run_ms)
-    made.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
-  made.clock.run_until(1.05)
-  request = made.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
-  made.clock.run_until(2.0)
-  assert made.answers[request].answer.outcome is model.Outcome.DONE
-  assert made.answers[request].took_s < 0.3
+    sim.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
+  sim.clock.run_until(1.05)
+  request = sim.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
+  sim.clock.run_until(2.0)
+  assert sim.answers[request].answer.outcome is model.Outcome.DONE
+  assert sim.answers[request].took_s < 0.3
 
 
-def test_job_that_would_outlast_its_caller_is_refused_at_once():
-  made = fleets.fleet()
+def test_job_that_cannot_end_in_time_is_refused_immediately():
+  sim = fleets.fleet()
   wide = fleets.job("wide", 400, 1000)
-  request = made.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
-  made.clock.run_until(1.2)
-  answered = made.answers[request].answer
-  assert answered.outcome is model.Outcome.NOT_RUN
-  assert answered.retry_after_s > 0
-  assert not any(e.starts for e in made.endpoints.values())
+  request = sim.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
+  sim.clock.run_until(1.2)
+  reply = sim.answers[request].answer
+  assert reply.outcome is model.Outcome.NOT_RUN
+  assert reply.retry_after_s > 0
+  assert not any(e.starts for e in sim.endpoints.values())
