--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass
-class Work:
+class TaskProfile:
   """What a task really takes, as opposed to what its caller guessed.
 
   Attributes:
@@ -38,14 +38,14 @@
     run_s: how long it runs on a usual endpoint.
     fails: True if it fails wherever it runs.
     once: True if it must not start again once it was noted as done.
-    crash_s: how long after its start it crashes its endpoint; None: never.
+    crash_after_s: how long after its start it crashes its endpoint; None: never.
   """
 
   need: model.Resources
   run_s: float
   fails: bool = False
-  once: bool = False
-  crash_s: float | None = None
+  no_rerun: bool = False
+  crash_after_s: float | None = None
 
 
 class EmulatedEndpoint:
@@ -67,20 +67,20 @@
       self,
       info: model.Endpoint,
       clock: clock_lib.VirtualClock,
-      work: Callable[[model.Task], Work],
+      work: Callable[[model.Task], TaskProfile],
       broken: list[str],
       alive: dict[model.Task, set[str]],
       noted: set[model.Task],
       clock_offset_ms: int = 500_000,
   ):
     self.info = info
-    self.dark = False
-    self.slow = 1.0
+    self.unreachable = False
+    self.slowdown = 1.0
     self.failing = False
     self.hanging = False
     self.busy = False
-    self.loses = 0.0
-    self.late_s = 0.0
+    self.loss_rate = 0.0
+    self.order_delay_s = 0.0
     self.reborn = False
     self.on_crash: Callable[[EmulatedEndpoint], None] = lambda endpoint: None
     self.starts: list[model.RunId] = []
@@ -138,16 +138,16 @@
     how = model.RunOutcome.DONE
     if self.failing or work.fails:
       how = model.RunOutcome.FAILED
-    ends = now + (1e9 if self.hanging else work.run_s * self.slow)
+    ends = now + (1e9 if self.hanging else work.run_s * self.slowdown)
     self._runs[run_id] = _Run(run_id, work.need, now, ends, how)
     self.starts.append(run_id)
     self._check(run_id)
     self._clock.at(ends, lambda: self._finish(run_id, how))
-    if work.crash_s is not None:
-      self._clock.after(work.crash_s, lambda: self._crash_under(run_id))
+    if work.crash_after_s is not None:
+      self._clock.after(work.crash_after_s, lambda: self._crash_under(run_id))
 
   def _crash_under(self, run_id: model.RunId):
-    if run_id in self._runs and not self.dark:
+    if run_id in self._runs and not self.unreachable:
       self.crash()
       self.on_crash(self)
 
@@ -176,7 +176,7 @@
           f"{self._clock.now:.3f} {run_id} on {self.info.id} beside {others}"
       )
     others.add(self.info.id)
-    if run_id.task in self._noted and self._work(run_id.task).once:
+    if run_id.task in self._noted and self._work(run_id.task).no_rerun:
       self._broken.append(f"{self._clock.now:.3f} {run_id} was done before")
 
   def _finish(self, run_id: model.RunId, how: model.RunOutcome):
@@ -219,7 +219,7 @@
     for run_id in list(self._runs):
       del self._runs[run_id]
       self._alive[run_id.task].discard(self.info.id)
-    self.dark = True
+    self.unreachable = True
 
   def stop(self, order: events.StopRun) -> model.CallResult:
     """Carries out an order to stop a run."""
@@ -260,13 +260,13 @@
       return
     answered = []
 
-    def once():
+    def no_rerun():
       if not answered:
         answered.append(True)
         answer(self._lists(call, model.CallResult.OK))
 
-    self._waiting.append(once)
-    self._clock.after(call.wait_ms / 1000, once)
+    self._waiting.append(no_rerun)
+    self._clock.after(call.wait_ms / 1000, no_rerun)
 
   def _note_ends(self, last_seen: int):
     for ended in self._ended:
--- a/fescueturn/emulator/fleet.py
+++ b/fescueturn/emulator/fleet.py
@@ -45,7 +45,7 @@
     self.endpoints: dict[str, endpoint_lib.EmulatedEndpoint] = {}
     self.answers: dict[int, CallerAnswer] = {}
     self.broken: list[str] = []
-    self.work: dict[model.Task, endpoint_lib.Work] = {}
+    self.work: dict[model.Task, endpoint_lib.TaskProfile] = {}
     self.store_up = True
     # Shares of the writes whose answers are lost, and that are carried out only
     # seconds later.
@@ -65,7 +65,9 @@
     self._lives = 0
     self._boots = 0
     self._requests = 0
-    self._default_work: Callable[[model.Task], endpoint_lib.Work] | None = None
+    self._default_work: (
+        Callable[[model.Task], endpoint_lib.TaskProfile] | None
+    ) = None
 
   # Building.
 
@@ -107,13 +109,13 @@
   def rebirth(self, endpoint: endpoint_lib.EmulatedEndpoint):
     """Starts another life at a crashed endpoint's address."""
     info = endpoint.info
-    endpoint.reborn, endpoint.dark = True, False
+    endpoint.reborn, endpoint.unreachable = True, False
     self._lives += 1
     name = f"{info.address.host}.{self._lives}"
     made = self.add_endpoint(name, info.data_centre, info.capacity.cpu)
     made.info = dataclasses.replace(made.info, address=info.address)
 
-  def _work_of(self, task: model.Task) -> endpoint_lib.Work:
+  def _work_of(self, task: model.Task) -> endpoint_lib.TaskProfile:
     return self.work[task]
 
   # Callers.
@@ -124,7 +126,7 @@
       job: model.Job,
       run_s: list[float],
       deadline_s: float = 2.0,
-      crash_s: float | None = None,
+      crash_after_s: float | None = None,
   ) -> int:
     """Hands in a job at a host.
 
@@ -133,7 +135,7 @@
       job: the job.
       run_s: its tasks' true run times (s).
       deadline_s: how long its caller waits.
-      crash_s: how long after its start its first task crashes its endpoint;
+      crash_after_s: how long after its start its first task crashes its endpoint;
         None: never.
 
     Returns:
@@ -145,9 +147,11 @@
         for index in range(step.count)
     ]
     for (task, need), seconds in zip(tasks, run_s, strict=True):
-      self.work[task] = endpoint_lib.Work(need, seconds, once=job.kept)
-    if crash_s is not None:
-      self.work[tasks[0][0]].crash_s = crash_s
+      self.work[task] = endpoint_lib.TaskProfile(
+          need, seconds, no_rerun=job.kept
+      )
+    if crash_after_s is not None:
+      self.work[tasks[0][0]].crash_after_s = crash_after_s
     self._requests += 1
     request = self._requests
     self._asked_at[request] = self.clock.now
@@ -236,10 +240,10 @@
       host.apply(answer_type(name, run, model.CallResult.NO_ANSWER, None))
 
     def arrive():
-      if endpoint.dark or not self._reaches(host, name):
+      if endpoint.unreachable or not self._reaches(host, name):
         return
-      late_s = endpoint.late_s
-      if self.rng.random() < endpoint.loses:
+      late_s = endpoint.order_delay_s
+      if self.rng.random() < endpoint.loss_rate:
         late_s = self.rng.uniform(2.0, 12.0)
       if late_s:
         self.clock.after(late_s, lambda: act(endpoint))
@@ -260,15 +264,21 @@
     answered = []
 
     def answer(result: events.LeaseAnswered):
-      if answered or endpoint.dark or not self._reaches(host, endpoint.info.id):
+      if (
+          answered
+          or endpoint.unreachable
+          or not self._reaches(host, endpoint.info.id)
+      ):
         return
       answered.append(True)
       self.clock.after(NEAR_S, lambda: host.apply(result))
 
-    lost = self.rng.random() < endpoint.loses
+    lost = self.rng.random() < endpoint.loss_rate
 
     def arrive():
-      reached = not endpoint.dark and self._reaches(host, endpoint.info.id)
+      reached = not endpoint.unreachable and self._reaches(
+          host, endpoint.info.id
+      )
       if reached and not lost:
         endpoint.renew(effect, answer)
 
@@ -333,7 +343,7 @@
     listed = tuple(
         e.info
         for name, e in self.endpoints.items()
-        if not (e.dark or e.reborn) and name not in self.unlisted
+        if not (e.unreachable or e.reborn) and name not in self.unlisted
     )
     self.clock.after(
         2 * fleetstore.STORE_S,
--- a/fescueturn/emulator/load.py
+++ b/fescueturn/emulator/load.py
@@ -117,7 +117,7 @@
     for number in range(plan.endpoints):
       cpu = 96000 if number % 3 == 2 else 64000
       endpoint = made.add_endpoint(f"{name}-endpoint{number}", name, cpu)
-      endpoint.loses = plan.lost_orders
+      endpoint.loss_rate = plan.lost_orders
   made.clock.run_until(SETTLE_S)
   return made
 
--- a/fescueturn/scheduler/forecast.py
+++ b/fescueturn/scheduler/forecast.py
@@ -93,8 +93,8 @@
   )
 
 
-def _waves(count: int, total_slots: int) -> int:
-  return -(-count // max(1, total_slots))
+def _waves(count: int, slots: int) -> int:
+  return -(-count // max(1, slots))
 
 
 def _run_times_ahead(
--- a/tests/fakeplatform.py
+++ b/tests/fakeplatform.py
@@ -142,7 +142,7 @@
 def _work(specs, task):
   spec = specs[task]
   need = model.Resources(spec.get("cpu", 27000), 64, 0)
-  return endpoint_lib.Work(need, spec["run_s"], spec.get("fails", False))
+  return endpoint_lib.TaskProfile(need, spec["run_s"], spec.get("fails", False))
 
 
 async def main(store_port: int, endpoint_port: int, count: int, zones: list):
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -27,16 +27,18 @@
   return sum(endpoint.reborn for endpoint in made.endpoints.values())
 
 
-def hand_in(made, host: str, name: str, crash_s: float | None, is_kept=True):
+def hand_in(
+    made, host: str, name: str, crash_after_s: float | None, is_kept=True
+):
   make = kept.job if is_kept else fleets.job
   wanted = make(name, 2, 400)
-  return made.submit(host, wanted, [0.4] * 2, 20.0, crash_s)
+  return made.submit(host, wanted, [0.4] * 2, 20.0, crash_after_s)
 
 
 @pytest.mark.parametrize("crash_s", CRASH_S)
-def test_kept_task_that_crashes_its_endpoints_is_given_up(crash_s):
+def test_kept_task_that_crashes_its_endpoints_is_given_up(crash_after_s):
   made = fleets.fleet()
-  hand_in(made, "a0", "bad", crash_s)
+  hand_in(made, "a0", "bad", crash_after_s)
   made.clock.run_until(20)
   assert made.kept.states["bad"] is model.KeptJobState.FAILED
   assert starts_of(made, "bad") <= MOST_STARTS
@@ -45,9 +47,9 @@
 
 
 @pytest.mark.parametrize("crash_s", CRASH_S)
-def test_caller_is_told_at_once_that_its_task_crashes_endpoints(crash_s):
+def test_caller_is_told_at_once_that_its_task_crashes_endpoints(crash_after_s):
   made = fleets.fleet()
-  request = hand_in(made, "a0", "bad", crash_s, is_kept=False)
+  request = hand_in(made, "a0", "bad", crash_after_s, is_kept=False)
   made.clock.run_until(20)
   answered = made.answers[request].answer
   assert answered.outcome is model.Outcome.FAILED
@@ -82,7 +84,7 @@
     made.clock.run_until(made.clock.now + 0.1)
     for endpoint in made.endpoints.values():
       if any(run.task.job_id == "good" for run in endpoint.running):
-        endpoint.dark = True
+        endpoint.unreachable = True
         made.clock.after(4.0, lambda e=endpoint: setattr(e, "dark", False))
     made.clock.run_until(made.clock.now + 1.2)
   made.clock.run_until(30)
--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -68,9 +68,9 @@
   )
   test_random_faults.Faults(sim, seed).plan()
   for number, zone in enumerate("abcabc"):
-    mark_loaded = 1.5 + 1.7 * number
-    sim.clock.at(mark_loaded, lambda zone=zone: sim.evacuate(zone))
-    end = mark_loaded + sim.rng.uniform(0.1, 2.5)
+    begin = 1.5 + 1.7 * number
+    sim.clock.at(begin, lambda zone=zone: sim.evacuate(zone))
+    end = begin + sim.rng.uniform(0.1, 2.5)
     sim.clock.at(end, lambda zone=zone: sim.evacuate(zone, wanted=False))
   sim.clock.run_until(60.0)
   test_kept_jobs.assert_guarantees_hold(sim, submitted)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -87,17 +87,17 @@
 
   def fault_endpoint_goes_dark(self):
     endpoint = self._made.endpoints[self._rng.choice(self._names)]
-    endpoint.dark = True
+    endpoint.unreachable = True
     self._later(lambda: setattr(endpoint, "dark", False))
 
   def fault_orders_are_lost(self):
     endpoints = list(self._made.endpoints.values())
     for endpoint in endpoints:
-      endpoint.loses = 0.2
+      endpoint.loss_rate = 0.2
 
     def mend():
       for endpoint in endpoints:
-        endpoint.loses = 0.0
+        endpoint.loss_rate = 0.0
 
     self._later(mend)
 
@@ -106,8 +106,8 @@
     host = self._rng.choice([h for h in made.hosts.values() if h.up])
     name = f"crash{self._rng.random()}"
     wanted = test_kept_jobs.job(name, 2, 200)
-    crash_s = self._rng.choice((0.001, 0.1))
-    made.submit(host.name, wanted, [0.2] * 2, 5.0, crash_s)
+    crash_after_s = self._rng.choice((0.001, 0.1))
+    made.submit(host.name, wanted, [0.2] * 2, 5.0, crash_after_s)
 
   def fault_capacity_moves(self):
     endpoint = self._made.endpoints[self._rng.choice(self._names)]
@@ -140,7 +140,7 @@
   endpoint = made.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
-    made.work[task] = fleets.fleet_lib.endpoint_lib.Work(
+    made.work[task] = fleets.fleet_lib.endpoint_lib.TaskProfile(
         fleets.NEED, 60.0, False
     )
     run = model.RunId(task, 1)
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -218,7 +218,7 @@
 def test_lost_orders_quarantine_no_endpoint():
   sim = fleets.fleet()
   for endpoint in sim.endpoints.values():
-    endpoint.loses = 0.1
+    endpoint.loss_rate = 0.1
   requests = fleets.load(sim, list(sim.hosts.values()), 8, 50)
   sim.clock.run_until(14)
   assert sim.broken == []
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -41,7 +41,7 @@
 def test_run_on_an_endpoint_turned_slow_is_begun_anew_elsewhere():
   made = fleets.fleet()
   slow = made.endpoints["e-a0"]
-  slow.slow = 8.0
+  slow.slowdown = 8.0
   requests = [
       made.submit("a0", fleets.job(f"j{n}", 4, 900), [0.9] * 4, 5.0)
       for n in range(3)
