--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -69,8 +69,8 @@
       clock: clock_lib.VirtualClock,
       work: Callable[[model.Task], TaskProfile],
       broken: list[str],
-      alive: dict[model.Task, set[str]],
-      noted: set[model.Task],
+      running_on: dict[model.Task, set[str]],
+      acknowledged_done: set[model.Task],
       clock_offset_ms: int = 500_000,
   ):
     self.info = info
@@ -81,16 +81,16 @@
     self.busy = False
     self.loss_rate = 0.0
     self.order_delay_s = 0.0
-    self.reborn = False
+    self.superseded = False
     self.on_crash: Callable[[EmulatedEndpoint], None] = lambda endpoint: None
     self.starts: list[model.RunId] = []
     self.stops = 0
     self._clock = clock
     self._work = work
     self._broken = broken
-    self._alive = alive
+    self._alive = running_on
     # Tasks whose end as done was noted by a holder.
-    self._noted = noted
+    self._noted = acknowledged_done
     self._offset_ms = clock_offset_ms
     # Capacities told before, and until when they may be used.
     self._capacities: list[tuple[float, model.Resources]] = []
@@ -115,7 +115,7 @@
   def start(self, order: events.StartRun) -> model.CallResult:
     """Carries out an order to start a run."""
     run_id = order.run
-    if self.reborn:
+    if self.superseded:
       return model.CallResult.GONE
     if self.busy:
       return model.CallResult.BUSY
@@ -223,7 +223,7 @@
 
   def stop(self, order: events.StopRun) -> model.CallResult:
     """Carries out an order to stop a run."""
-    if self.reborn:
+    if self.superseded:
       return model.CallResult.GONE
     if order.fence < self._fence:
       return model.CallResult.FENCED
@@ -244,7 +244,7 @@
       answer: Callable[[events.LeaseAnswered], None],
   ):
     """Renews the lease; calls `answer` at once, or at the next end."""
-    if self.reborn:
+    if self.superseded:
       answer(self._lists(call, model.CallResult.GONE))
       return
     if call.fence < self._fence:
--- a/fescueturn/emulator/fleet.py
+++ b/fescueturn/emulator/fleet.py
@@ -45,23 +45,23 @@
     self.endpoints: dict[str, endpoint_lib.EmulatedEndpoint] = {}
     self.answers: dict[int, CallerAnswer] = {}
     self.broken: list[str] = []
-    self.work: dict[model.Task, endpoint_lib.TaskProfile] = {}
+    self.task_profiles: dict[model.Task, endpoint_lib.TaskProfile] = {}
     self.store_up = True
     # Shares of the writes whose answers are lost, and that are carried out only
     # seconds later.
-    self.store_loses = 0.0
-    self.store_late = 0.0
+    self.store_reply_loss_rate = 0.0
+    self.store_late_write_rate = 0.0
     # How long a shard's records take to be taken over and read.
-    self.load_s = 4 * fleetstore.STORE_S
+    self.kept_load_delay_s = 4 * fleetstore.STORE_S
     self.kept = keptstore.KeptStore()
     # Endpoints whose entries in the store's list have lapsed.
     self.unlisted: set[str] = set()
-    self.alive: dict[model.Task, set[str]] = {}
-    self.noted: set[model.Task] = set()
+    self.running_on: dict[model.Task, set[str]] = {}
+    self.acknowledged_done: set[model.Task] = set()
     self._asked_at: dict[int, float] = {}
     self._store = fleetstore.FleetStore(self)
     # How long a crashed endpoint takes to be back.
-    self.crashed_s = 3.0
+    self.restart_delay_s = 3.0
     self._lives = 0
     self._boots = 0
     self._requests = 0
@@ -96,7 +96,12 @@
         model.Resources(cpu, 131072, 0),
     )
     endpoint = endpoint_lib.EmulatedEndpoint(
-        info, self.clock, self._work_of, self.broken, self.alive, self.noted
+        info,
+        self.clock,
+        self._work_of,
+        self.broken,
+        self.running_on,
+        self.acknowledged_done,
     )
     endpoint.on_crash = self._crashed
     self.endpoints[name] = endpoint
@@ -104,19 +109,21 @@
 
   def _crashed(self, endpoint: endpoint_lib.EmulatedEndpoint):
     """Has a crashed endpoint back after a while, as another life."""
-    self.clock.after(self.crashed_s, lambda: self.rebirth(endpoint))
+    self.clock.after(
+        self.restart_delay_s, lambda: self.restart_endpoint(endpoint)
+    )
 
-  def rebirth(self, endpoint: endpoint_lib.EmulatedEndpoint):
+  def restart_endpoint(self, endpoint: endpoint_lib.EmulatedEndpoint):
     """Starts another life at a crashed endpoint's address."""
     info = endpoint.info
-    endpoint.reborn, endpoint.unreachable = True, False
+    endpoint.superseded, endpoint.unreachable = True, False
     self._lives += 1
     name = f"{info.address.host}.{self._lives}"
     made = self.add_endpoint(name, info.data_centre, info.capacity.cpu)
     made.info = dataclasses.replace(made.info, address=info.address)
 
   def _work_of(self, task: model.Task) -> endpoint_lib.TaskProfile:
-    return self.work[task]
+    return self.task_profiles[task]
 
   # Callers.
 
@@ -147,18 +154,18 @@
         for index in range(step.count)
     ]
     for (task, need), seconds in zip(tasks, run_s, strict=True):
-      self.work[task] = endpoint_lib.TaskProfile(
+      self.task_profiles[task] = endpoint_lib.TaskProfile(
           need, seconds, no_rerun=job.kept
       )
     if crash_after_s is not None:
-      self.work[tasks[0][0]].crash_after_s = crash_after_s
+      self.task_profiles[tasks[0][0]].crash_after_s = crash_after_s
     self._requests += 1
     request = self._requests
     self._asked_at[request] = self.clock.now
     self.hosts[host].apply(events.JobArrived(request, job, deadline_s))
     return request
 
-  def ask_kept(
+  def query_kept_job(
       self,
       host: str,
       job_id: str,
@@ -181,7 +188,7 @@
     )
     return self._requests
 
-  def hang_up(self, host: str, request: int):
+  def disconnect_caller(self, host: str, request: int):
     """The caller of a request closes its connection."""
     self.hosts[host].apply(events.CallerGone(request))
 
@@ -212,8 +219,8 @@
 
   def _reaches(self, host: hosts.EmulatedHost, name: str) -> bool:
     other = self.hosts.get(name)
-    return name not in host.cut and (
-        other is None or host.name not in other.cut
+    return name not in host.partitioned_from and (
+        other is None or host.name not in other.partitioned_from
     )
 
   def _start(self, host, effect: events.StartRun):
@@ -336,21 +343,21 @@
   def _log(self, host, effect: events.Log):
     host.log.append(effect)
 
-  def read_list(self, host: hosts.EmulatedHost):
+  def poll_endpoints(self, host: hosts.EmulatedHost):
     """Has a host read the list of endpoints."""
-    if not self._store.has_store(host):
+    if not self._store.can_reach_store(host):
       return
     listed = tuple(
         e.info
         for name, e in self.endpoints.items()
-        if not (e.unreachable or e.reborn) and name not in self.unlisted
+        if not (e.unreachable or e.superseded) and name not in self.unlisted
     )
     self.clock.after(
         2 * fleetstore.STORE_S,
         lambda: host.apply(events.EndpointsListed(listed)),
     )
 
-  def end_claim(self, shard: model.Shard):
+  def delete_claim(self, shard: model.Shard):
     """Removes a claim though its holder lives."""
     self._store.set_claim(shard, None)
 
--- a/fescueturn/emulator/fleetstore.py
+++ b/fescueturn/emulator/fleetstore.py
@@ -41,13 +41,13 @@
     for host in self._fleet.hosts.values():
       self.tell_evacuations(host)
 
-  def has_store(self, host: hosts.EmulatedHost) -> bool:
+  def can_reach_store(self, host: hosts.EmulatedHost) -> bool:
     """Returns whether a host reaches the store."""
-    return self._fleet.store_up and "store" not in host.cut
+    return self._fleet.store_up and "store" not in host.partitioned_from
 
   def read_claims(self, host: hosts.EmulatedHost):
     """Has a host told of all claims, and of what the operator wants."""
-    if not self.has_store(host):
+    if not self.can_reach_store(host):
       self._fleet.clock.after(0.1, lambda: self.read_claims(host))
       return
     self.tell_evacuations(host)
@@ -63,7 +63,7 @@
     def arrive():
       current = self._claims.get(effect.shard)
       fence = current.fence if current else 0
-      if self.has_store(host) and fence == effect.replaces:
+      if self.can_reach_store(host) and fence == effect.replaces:
         self._revision += 1
         process = host.process
         holder = model.Holder(
@@ -90,7 +90,7 @@
     def check():
       if self._claims.get(shard) != holder:
         return
-      if host.up and not host.frozen and self.has_store(host):
+      if host.up and not host.frozen and self.can_reach_store(host):
         renewed_at[0] = self._fleet.clock.now
       elif (
           self._fleet.clock.now - renewed_at[0] > CLAIM_LEASE_S
@@ -113,7 +113,7 @@
       self._notify(host, changed)
 
   def _notify(self, host: hosts.EmulatedHost, changed: events.HolderChanged):
-    if self.has_store(host):
+    if self.can_reach_store(host):
       delay_s = STORE_S * self._fleet.rng.uniform(1.0, WATCH_SPREAD)
       self._fleet.clock.after(delay_s, lambda: host.apply(changed))
     else:
@@ -121,7 +121,7 @@
 
   def tell_evacuations(self, host: hosts.EmulatedHost):
     """Has a host told what the operator wants, as soon as it has the store."""
-    if not self.has_store(host):
+    if not self.can_reach_store(host):
       self._fleet.clock.after(0.2, lambda: self.tell_evacuations(host))
       return
 
@@ -135,13 +135,15 @@
 
   def load_kept(self, host, effect: keptevents.LoadKeptJobs):
     """Carries out the taking over of kept jobs."""
-    if not self.has_store(host):
+    if not self.can_reach_store(host):
       self._fleet.clock.after(
           STORE_RETRY_S, lambda: self.load_kept(host, effect)
       )
       return
     loaded = self._fleet.kept.load(effect, self._claims.get(effect.shard))
-    self._fleet.clock.after(self._fleet.load_s, lambda: host.apply(loaded))
+    self._fleet.clock.after(
+        self._fleet.kept_load_delay_s, lambda: host.apply(loaded)
+    )
 
   def write_kept(self, host, effect: keptevents.WriteKeptJobs):
     """Carries out a write of kept jobs."""
@@ -153,12 +155,12 @@
     def arrive():
       return self._fleet.kept.write(effect, self._claims.get(effect.shard))
 
-    if not self.has_store(host):
+    if not self.can_reach_store(host):
       self._fleet.clock.after(STORE_RETRY_S, again)
-    elif self._fleet.rng.random() < self._fleet.store_late:
+    elif self._fleet.rng.random() < self._fleet.store_late_write_rate:
       self._fleet.clock.after(self._fleet.rng.uniform(1.0, 6.0), arrive)
       self._fleet.clock.after(STORE_TIMEOUT_S, again)
-    elif self._fleet.rng.random() < self._fleet.store_loses:
+    elif self._fleet.rng.random() < self._fleet.store_reply_loss_rate:
       arrive()
       self._fleet.clock.after(STORE_TIMEOUT_S, again)
     else:
@@ -172,7 +174,7 @@
   def list_open(self, host, effect: keptevents.ListOpenJobs):
     """Lists kept jobs that are not over."""
     listed = keptevents.OpenJobsListed(effect.shard, effect.fence, ())
-    if self.has_store(host):
+    if self.can_reach_store(host):
       listed = self._fleet.kept.listed(effect)
     self._fleet.clock.after(2 * STORE_S, lambda: host.apply(listed))
 
@@ -181,7 +183,11 @@
 
     def arrive():
       current = self._claims.get(effect.shard)
-      if self.has_store(host) and current and current.fence == effect.fence:
+      if (
+          self.can_reach_store(host)
+          and current
+          and current.fence == effect.fence
+      ):
         self.set_claim(effect.shard, None)
 
     self._fleet.clock.after(STORE_S, arrive)
--- a/fescueturn/emulator/hosts.py
+++ b/fescueturn/emulator/hosts.py
@@ -35,7 +35,7 @@
     )
     self.up = True
     self.frozen = False
-    self.cut: set[str] = set()
+    self.partitioned_from: set[str] = set()
     self.log: list[events.Log] = []
     self._fleet = fleet
     self._held: list[events.Event] = []
@@ -69,7 +69,7 @@
     owns = bool(self.state.owners)
     if owns and now >= self._lists_at and not self.frozen:
       self._lists_at = now + POLL_PERIOD_S
-      self._fleet.read_list(self)
+      self._fleet.poll_endpoints(self)
     if not owns:
       self._lists_at = 0.0
     self._fleet.clock.after(TICK_S, self.tick)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -24,7 +24,7 @@
 
 
 def crashes(made: fleet_lib.Fleet) -> int:
-  return sum(endpoint.reborn for endpoint in made.endpoints.values())
+  return sum(endpoint.superseded for endpoint in made.endpoints.values())
 
 
 def hand_in(
--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -44,7 +44,7 @@
     seed,
 ):
   sim = fleets.fleet(seed=seed)
-  sim.store_loses, sim.store_late = 0.1, 0.1
+  sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.1
   submitted = test_kept_jobs.load(
       sim, test_kept_jobs.all_hosts(sim), 4.0, 20, "k"
   )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -84,7 +84,7 @@
   host, idle = fleet.hosts["a0"], fleet.hosts["a1"]
   for cut in (host, idle):
     assert cut.state.coordinator.serves
-    cut.cut.update(n for n in fleet.hosts if not n.startswith("a"))
+    cut.partitioned_from.update(n for n in fleet.hosts if not n.startswith("a"))
   fleet.clock.run_until(1.2)
   for number in range(3):
     fleet.submit("a0", fleets.job(f"j{number}", 2, 100), [0.1] * 2)
@@ -96,7 +96,7 @@
   assert fleet.answers[request].answer.outcome is model.Outcome.NOT_RUN
   assert fleet.answers[request].took_s < 0.01, "it is known already"
   for cut in (host, idle):
-    cut.cut.clear()
+    cut.partitioned_from.clear()
   fleet.clock.run_until(7.0)
   assert host.state.coordinator.serves
   assert idle.state.coordinator.serves
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -99,9 +99,9 @@
   sim = fleets.fleet()
   submit(sim, "a0", job("k", 3, 200))
   sim.clock.run_until(1.215)
-  assert not sim.noted
+  assert not sim.acknowledged_done
   sim.clock.run_until(1.6)
-  assert len(sim.noted) == 3
+  assert len(sim.acknowledged_done) == 3
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("load_s", (0.02, 0.1, 0.4))
 def test_run_that_ends_while_the_records_are_read_is_not_run_again(load_s):
   sim = fleets.fleet()
-  sim.load_s = load_s
+  sim.kept_load_delay_s = load_s
   submitted = load(sim, hosts_of_zone(sim, "a"), 2, 25)
   owner = fleets.owner_of(sim, "a")
   sim.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
@@ -131,7 +131,7 @@
 def test_best_effort_jobs_end_while_the_records_are_read(seed):
   """Their results must not be stored, whenever the jobs are offered again."""
   sim = fleets.fleet(seed=seed)
-  sim.load_s = 0.3
+  sim.kept_load_delay_s = 0.3
   requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 3, 30)
   submitted = load(sim, hosts_of_zone(sim, "a"), 3, 10)
   owner = fleets.owner_of(sim, "a")
@@ -191,12 +191,12 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_lost_and_late_writes_lose_no_job_and_repeat_no_task(seed):
   sim = fleets.fleet(seed=seed)
-  sim.store_loses, sim.store_late = 0.1, 0.05
+  sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.05
   submitted = load(sim, all_hosts(sim), 6, 30)
   owner = fleets.owner_of(sim, "b")
   sim.clock.at(4.0, lambda: sim.kill(owner.name))
   sim.clock.run_until(12)
-  sim.store_loses = sim.store_late = 0.0
+  sim.store_reply_loss_rate = sim.store_late_write_rate = 0.0
   sim.clock.run_until(24)
   assert_guarantees_hold(sim, submitted)
   assert accepted(sim, submitted) > 0.3 * len(submitted)
@@ -205,7 +205,7 @@
 def test_live_owner_that_loses_its_claim_loses_no_job():
   sim = fleets.fleet()
   submitted = load(sim, hosts_of_zone(sim, "a"), 4, 20)
-  sim.clock.at(2.0, lambda: sim.end_claim(SHARD))
+  sim.clock.at(2.0, lambda: sim.delete_claim(SHARD))
   sim.clock.run_until(14)
   assert_guarantees_hold(sim, submitted)
 
@@ -238,7 +238,7 @@
   sim = fleets.fleet()
   submit(sim, "a0", job("k", 4, 900))
   sim.clock.run_until(1.3)
-  request = sim.ask_kept("b1", "k", "a", cancel=True)
+  request = sim.query_kept_job("b1", "k", "a", cancel=True)
   sim.clock.run_until(1.5)
   assert outcome(sim, request) is model.Outcome.CANCELLED
   assert sim.kept.states["k"] is model.KeptJobState.CANCELLED
@@ -252,8 +252,8 @@
   sim = fleets.fleet()
   submit(sim, "a0", job("k", 1, 100))
   sim.clock.run_until(2)
-  finished = sim.ask_kept("a1", "k", "a", cancel=True)
-  unknown = sim.ask_kept("a1", "nothing", "a", cancel=True)
+  finished = sim.query_kept_job("a1", "k", "a", cancel=True)
+  unknown = sim.query_kept_job("a1", "nothing", "a", cancel=True)
   sim.clock.run_until(3)
   assert outcome(sim, finished) is model.Outcome.DONE
   assert outcome(sim, unknown) is model.Outcome.UNKNOWN
@@ -263,13 +263,13 @@
   sim = fleets.fleet()
   submit(sim, "a0", job("k", 2, 200))
   sim.clock.run_until(1.1)
-  open_still = sim.ask_kept("b0", "k", "a", cancel=False)
+  open_still = sim.query_kept_job("b0", "k", "a", cancel=False)
   sim.clock.run_until(1.11)
   assert outcome(sim, open_still) is model.Outcome.KEPT
   # The tasks end at 1.207 s, are listed within 1 ms, stored after 4 more.
   sim.clock.run_until(1.2085)
   assert sim.kept.states["k"] is model.KeptJobState.OPEN
-  just_finished = sim.ask_kept("b0", "k", "a", cancel=False)
+  just_finished = sim.query_kept_job("b0", "k", "a", cancel=False)
   sim.clock.run_until(1.3)
   assert outcome(sim, just_finished) is model.Outcome.DONE
   assert sim.answers[just_finished].took_s < 0.03
@@ -281,7 +281,7 @@
   host = fleets.other_than(sim, owner)
   submit(sim, host.name, job("k", 4, 900))
   sim.clock.run_until(1.3)
-  request = sim.ask_kept(host.name, "k", "a", cancel=True)
+  request = sim.query_kept_job(host.name, "k", "a", cancel=True)
   sim.kill(owner.name)
   sim.clock.run_until(4)
   assert outcome(sim, request) is model.Outcome.CANCELLED
@@ -293,7 +293,7 @@
 def test_task_that_always_fails_is_attempted_as_often_as_allowed(killed):
   sim = fleets.fleet()
   submit(sim, "a0", job("k", 1, 100, attempts=3))
-  sim.work[model.Task("k", 0, 0)].fails = True
+  sim.task_profiles[model.Task("k", 0, 0)].fails = True
   if killed:
     sim.clock.run_until(1.13)
     sim.kill(fleets.owner_of(sim, "a").name)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -65,16 +65,16 @@
   def fault_cut(self):
     host, names = self._host(), [*self._made.hosts, *self._names]
     cut = self._some(names)
-    host.cut.update(cut)
-    self._later(lambda: host.cut.difference_update(cut))
+    host.partitioned_from.update(cut)
+    self._later(lambda: host.partitioned_from.difference_update(cut))
 
   def fault_store_turns_away(self):
     host = self._host()
-    host.cut.add("store")
-    self._later(lambda: host.cut.discard("store"))
+    host.partitioned_from.add("store")
+    self._later(lambda: host.partitioned_from.discard("store"))
 
   def fault_claim_ends(self):
-    self._made.end_claim(model.Shard(self._rng.choice(fleets.ZONES)))
+    self._made.delete_claim(model.Shard(self._rng.choice(fleets.ZONES)))
 
   def fault_entries_lapse(self):
     lapsed = self._some(self._names)
@@ -140,7 +140,7 @@
   endpoint = made.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
-    made.work[task] = fleets.fleet_lib.endpoint_lib.TaskProfile(
+    made.task_profiles[task] = fleets.fleet_lib.endpoint_lib.TaskProfile(
         fleets.NEED, 60.0, False
     )
     run = model.RunId(task, 1)
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -37,7 +37,7 @@
   owner = fleets.owner_of(sim, "a")
   # The owner is cut off from the store: its claim expires and another host
   # takes the shard.
-  sim.clock.at(2.0, lambda: owner.cut.add("store"))
+  sim.clock.at(2.0, lambda: owner.partitioned_from.add("store"))
   sim.clock.run_until(12)
   assert fleets.owner_of(sim, "a") is not owner
   assert sim.broken == []
@@ -99,8 +99,10 @@
   for number, name in enumerate(sim.endpoints):
     endpoint = sim.endpoints[name]
     begin = 2.0 + number * 0.6
-    sim.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
-    sim.clock.at(begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0))
+    sim.clock.at(begin, lambda e=endpoint: setattr(e, "order_delay_s", 3.0))
+    sim.clock.at(
+        begin + 0.4, lambda e=endpoint: setattr(e, "order_delay_s", 0.0)
+    )
   sim.clock.run_until(30)
   assert sim.broken == []
 
@@ -121,7 +123,7 @@
   request = sim.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
   sim.clock.run_until(1.2)
   assert sum(len(e.running) for e in sim.endpoints.values()) == 4
-  sim.hang_up("a0", request)
+  sim.disconnect_caller("a0", request)
   sim.clock.run_until(1.3)
   assert sum(len(e.running) for e in sim.endpoints.values()) == 0
 
@@ -140,7 +142,7 @@
   sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 4, 30)
-  sim.clock.at(2.0, lambda: sim.end_claim(model.Shard("a")))
+  sim.clock.at(2.0, lambda: sim.delete_claim(model.Shard("a")))
   sim.clock.run_until(8)
   assert fleets.owner_of(sim, "a") is owner
   assert sim.broken == []
@@ -231,7 +233,7 @@
   sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   sim.clock.run_until(2.0)
-  sim.end_claim(model.Shard("a"))
+  sim.delete_claim(model.Shard("a"))
   # A host starts before the holder learns that its claim has ended.
   sim.add_host("a9", "a")
   sim.clock.run_until(6)
@@ -326,7 +328,9 @@
   owner = fleets.owner_of(sim, "a")
   host = fleets.other_than(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
-  host.cut.add(owner.name)  # The offer has been sent; no answer arrives.
+  host.partitioned_from.add(
+      owner.name
+  )  # The offer has been sent; no answer arrives.
   (record,) = host.state.coordinator.jobs.values()
   record.deadline = sim.clock.now
   host.apply(events.Tick())
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -56,7 +56,7 @@
   fleet.clock.run_until(3.0)
   before = fleets.owner_of(fleet, "a")
   others = [h for h in fleet.hosts.values() if h is not before]
-  before.cut.update(h.name for h in others)
+  before.partitioned_from.update(h.name for h in others)
   fleet.clock.run_until(4.0)
   holders = [
       h for h in fleets.zone_hosts(fleet, "a") if h.state.owners and h != before
@@ -73,7 +73,7 @@
 def test_host_cut_off_from_its_holder_alone_takes_nothing_over():
   fleet = fleets.fleet()
   before = fleets.owner_of(fleet, "a")
-  fleets.other_than(fleet, before).cut.add(before.name)
+  fleets.other_than(fleet, before).partitioned_from.add(before.name)
   assert holder_after(fleet, 4.0) is before
 
 
@@ -82,5 +82,7 @@
   before = fleets.owner_of(fleet, "a")
   near = fleets.zone_hosts(fleet, "a")
   for host in near:
-    host.cut.update(n for n in fleet.hosts if not n.startswith("a"))
+    host.partitioned_from.update(
+        n for n in fleet.hosts if not n.startswith("a")
+    )
   assert holder_after(fleet, 4.0) is before
