--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -12,9 +12,9 @@
 from fescueturn.scheduler import model
 
 MAX_LEASE_MS = 1000
-STOP_S = 0.03
+STOP_DELAY_S = 0.03
 # Holders must heed a smaller capacity so long after it was told.
-RESIZED_S = 4.5
+RESIZE_GRACE_S = 4.5
 
 
 @dataclasses.dataclass
@@ -74,13 +74,13 @@
       clock_offset_ms: int = 500_000,
   ):
     self.info = info
-    self.unreachable = False
+    self.dark = False
     self.slowdown = 1.0
     self.failing = False
     self.hanging = False
     self.busy = False
     self.loss_rate = 0.0
-    self.order_delay_s = 0.0
+    self.late_s = 0.0
     self.superseded = False
     self.on_crash: Callable[[EmulatedEndpoint], None] = lambda endpoint: None
     self.starts: list[model.RunId] = []
@@ -147,13 +147,13 @@
       self._clock.after(work.crash_after_s, lambda: self._crash_under(run_id))
 
   def _crash_under(self, run_id: model.RunId):
-    if run_id in self._runs and not self.unreachable:
+    if run_id in self._runs and not self.dark:
       self.crash()
       self.on_crash(self)
 
   def resize(self, capacity: model.Resources):
     """Has the endpoint say another capacity from now on."""
-    before = (self._clock.now + RESIZED_S, self.info.capacity)
+    before = (self._clock.now + RESIZE_GRACE_S, self.info.capacity)
     self._capacities.append(before)
     self.info = dataclasses.replace(self.info, capacity=capacity)
 
@@ -219,7 +219,7 @@
     for run_id in list(self._runs):
       del self._runs[run_id]
       self._alive[run_id.task].discard(self.info.id)
-    self.unreachable = True
+    self.dark = True
 
   def stop(self, order: events.StopRun) -> model.CallResult:
     """Carries out an order to stop a run."""
@@ -234,7 +234,7 @@
     if run is not None and not run.stopping:
       run.stopping = True
       self._clock.after(
-          STOP_S, lambda: self._finish(order.run, model.RunOutcome.LOST)
+          STOP_DELAY_S, lambda: self._finish(order.run, model.RunOutcome.LOST)
       )
     return model.CallResult.OK
 
--- a/fescueturn/emulator/fleet.py
+++ b/fescueturn/emulator/fleet.py
@@ -23,8 +23,8 @@
 from fescueturn.scheduler import timeouts
 
 # One way, as on the sheets: within a data centre, between two, to the store.
-NEAR_S = 0.0002
-FAR_S = 0.0007
+LOCAL_DELAY_S = 0.0002
+REMOTE_DELAY_S = 0.0007
 
 
 @dataclasses.dataclass(frozen=True)
@@ -52,8 +52,8 @@
     self.store_reply_loss_rate = 0.0
     self.store_late_write_rate = 0.0
     # How long a shard's records take to be taken over and read.
-    self.kept_load_delay_s = 4 * fleetstore.STORE_S
-    self.kept = keptstore.KeptStore()
+    self.kept_load_delay_s = 4 * fleetstore.STORE_DELAY_S
+    self.kept_store = keptstore.KeptStore()
     # Endpoints whose entries in the store's list have lapsed.
     self.unlisted: set[str] = set()
     self.running_on: dict[model.Task, set[str]] = {}
@@ -79,7 +79,9 @@
     host = hosts.EmulatedHost(self, name, data_centre, self._boots, cores)
     self.hosts[name] = host
     self.clock.after(self.rng.random() * hosts.TICK_S, host.tick)
-    self.clock.after(fleetstore.STORE_S, lambda: self._store.read_claims(host))
+    self.clock.after(
+        fleetstore.STORE_DELAY_S, lambda: self._store.read_claims(host)
+    )
     return host
 
   def add_endpoint(
@@ -116,7 +118,7 @@
   def restart_endpoint(self, endpoint: endpoint_lib.EmulatedEndpoint):
     """Starts another life at a crashed endpoint's address."""
     info = endpoint.info
-    endpoint.superseded, endpoint.unreachable = True, False
+    endpoint.superseded, endpoint.dark = True, False
     self._lives += 1
     name = f"{info.address.host}.{self._lives}"
     made = self.add_endpoint(name, info.data_centre, info.capacity.cpu)
@@ -209,13 +211,13 @@
 
   # Effects.
 
-  def carry(self, host: hosts.EmulatedHost, effect: events.Effect):
+  def execute(self, host: hosts.EmulatedHost, effect: events.Effect):
     """Carries out one effect of a host."""
-    carry = _CARRY.get(type(effect))
-    if carry is not None:
-      carry(self, host, effect)
+    execute = _EFFECT_HANDLERS.get(type(effect))
+    if execute is not None:
+      execute(self, host, effect)
     else:
-      fleetstore.CARRY[type(effect)](self._store, host, effect)
+      fleetstore.EFFECT_HANDLERS[type(effect)](self._store, host, effect)
 
   def _reaches(self, host: hosts.EmulatedHost, name: str) -> bool:
     other = self.hosts.get(name)
@@ -247,9 +249,9 @@
       host.apply(answer_type(name, run, model.CallResult.NO_ANSWER, None))
 
     def arrive():
-      if endpoint.unreachable or not self._reaches(host, name):
+      if endpoint.dark or not self._reaches(host, name):
         return
-      late_s = endpoint.order_delay_s
+      late_s = endpoint.late_s
       if self.rng.random() < endpoint.loss_rate:
         late_s = self.rng.uniform(2.0, 12.0)
       if late_s:
@@ -259,11 +261,12 @@
       clock_ms = endpoint.clock_ms
       lost.append(False)
       self.clock.after(
-          NEAR_S, lambda: host.apply(answer_type(name, run, result, clock_ms))
+          LOCAL_DELAY_S,
+          lambda: host.apply(answer_type(name, run, result, clock_ms)),
       )
 
     lost = []
-    self.clock.after(NEAR_S, arrive)
+    self.clock.after(LOCAL_DELAY_S, arrive)
     self.clock.after(timeouts.MIN_S, lambda: lost or give_up())
 
   def _renew(self, host, effect: events.RenewLease):
@@ -271,21 +274,15 @@
     answered = []
 
     def answer(result: events.LeaseAnswered):
-      if (
-          answered
-          or endpoint.unreachable
-          or not self._reaches(host, endpoint.info.id)
-      ):
+      if answered or endpoint.dark or not self._reaches(host, endpoint.info.id):
         return
       answered.append(True)
-      self.clock.after(NEAR_S, lambda: host.apply(result))
+      self.clock.after(LOCAL_DELAY_S, lambda: host.apply(result))
 
     lost = self.rng.random() < endpoint.loss_rate
 
     def arrive():
-      reached = not endpoint.unreachable and self._reaches(
-          host, endpoint.info.id
-      )
+      reached = not endpoint.dark and self._reaches(host, endpoint.info.id)
       if reached and not lost:
         endpoint.renew(effect, answer)
 
@@ -301,7 +298,7 @@
             )
         )
 
-    self.clock.after(NEAR_S, arrive)
+    self.clock.after(LOCAL_DELAY_S, arrive)
     wait_s = effect.wait_ms / 1000
     self.clock.after(wait_s + timeouts.MIN_S, give_up)
 
@@ -310,7 +307,11 @@
   ) -> float:
     if host is other:
       return 0.0
-    return NEAR_S if host.data_centre == other.data_centre else FAR_S
+    return (
+        LOCAL_DELAY_S
+        if host.data_centre == other.data_centre
+        else REMOTE_DELAY_S
+    )
 
   def _tell_holder(self, host, effect: events.SendToHolder):
     other = self.hosts[effect.holder.host]
@@ -350,10 +351,10 @@
     listed = tuple(
         e.info
         for name, e in self.endpoints.items()
-        if not (e.unreachable or e.superseded) and name not in self.unlisted
+        if not (e.dark or e.superseded) and name not in self.unlisted
     )
     self.clock.after(
-        2 * fleetstore.STORE_S,
+        2 * fleetstore.STORE_DELAY_S,
         lambda: host.apply(events.EndpointsListed(listed)),
     )
 
@@ -362,7 +363,7 @@
     self._store.set_claim(shard, None)
 
 
-_CARRY = {
+_EFFECT_HANDLERS = {
     events.StartRun: Fleet._start,
     events.StopRun: Fleet._stop,
     events.RenewLease: Fleet._renew,
--- a/fescueturn/emulator/hosts.py
+++ b/fescueturn/emulator/hosts.py
@@ -9,7 +9,7 @@
 TICK_S = 0.02
 POLL_PERIOD_S = 0.7
 # How long a kept job that is over stays known.
-ENDED_KEPT_S = 120.0
+ENDED_JOB_TTL_S = 120.0
 
 
 class EmulatedHost:
@@ -30,7 +30,7 @@
     shards = (model.Shard(data_centre),)
     self.state = state_lib.HostState(
         state_lib.HostIdentity(
-            self.process, data_centre, shards, ENDED_KEPT_S, cores
+            self.process, data_centre, shards, ENDED_JOB_TTL_S, cores
         )
     )
     self.up = True
@@ -51,7 +51,7 @@
       return
     now = self._fleet.clock.now
     for effect in reducer.reduce(self.state, event, now):
-      self._fleet.carry(self, effect)
+      self._fleet.execute(self, effect)
 
   def thaw(self):
     """Wakes a frozen host: what has waited for it comes in."""
--- a/fescueturn/emulator/keptstore.py
+++ b/fescueturn/emulator/keptstore.py
@@ -106,14 +106,14 @@
       else:
         self.states.pop(change.job_id, None)
 
-  def listed(
+  def list_open(
       self, effect: keptevents.ListOpenJobs
   ) -> keptevents.OpenJobsListed:
     """Returns a shard's jobs that are not over."""
     jobs = tuple(self.open.get(effect.shard, {}).values())
     return keptevents.OpenJobsListed(effect.shard, effect.fence, jobs)
 
-  def ended(
+  def list_ended(
       self, effect: keptevents.ListEndedJobs
   ) -> keptevents.EndedJobsListed:
     """Returns a shard's jobs that are over."""
--- a/fescueturn/scheduler/offers.py
+++ b/fescueturn/scheduler/offers.py
@@ -58,7 +58,7 @@
     return True
   forecast = forecast_lib.forecast(owner, offer)
   must_wait = forecast.wait_s > IMMEDIATE_START_S
-  if forecast.order_delay_s or (offer.immediate_only and must_wait):
+  if forecast.late_s or (offer.immediate_only and must_wait):
     _decline_by_forecast(owner, offer, forecast)
     return False
   return True
@@ -77,16 +77,16 @@
   for job in early:
     forecast = forecast_lib.forecast(owner, job.offer(owner.now))
     owner.jobs[job.key] = job
-    if forecast.order_delay_s:
+    if forecast.late_s:
       outcomes.hand_back(owner, job)
 
 
 def _decline_by_forecast(
     owner, offer: linkmessages.Offered, forecast: forecast_lib.Forecast
 ):
-  in_time = not forecast.order_delay_s
+  in_time = not forecast.late_s
   wait_ms = max(
-      1, int(1000 * (forecast.wait_s if in_time else forecast.order_delay_s))
+      1, int(1000 * (forecast.wait_s if in_time else forecast.late_s))
   )
   owner.counters["put_off" if in_time else "declined"] += 1
   owner.emit(
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,6 +1,6 @@
 """Fleets of emulated hosts and endpoints, and their load, for tests."""
 
-from fescueturn.emulator import fleet as fleet_lib
+from fescueturn.emulator import build_fleet as fleet_lib
 from fescueturn.emulator import hosts as hosts_lib
 from fescueturn.scheduler import model
 
@@ -13,7 +13,9 @@
   return model.Job(name, "s", "spec", steps, 3, 1.6, slo_ms)
 
 
-def fleet(hosts: int = 3, endpoints: int = 8, seed: int = 0) -> fleet_lib.Fleet:
+def build_fleet(
+    hosts: int = 3, endpoints: int = 8, seed: int = 0
+) -> fleet_lib.Fleet:
   made = fleet_lib.Fleet(seed)
   for zone in ZONES:
     for number in range(hosts):
@@ -35,7 +37,7 @@
   return owners[0]
 
 
-def other_than(made, owner) -> hosts_lib.EmulatedHost:
+def other_host(made, owner) -> hosts_lib.EmulatedHost:
   return next(
       h
       for h in made.hosts.values()
@@ -43,7 +45,7 @@
   )
 
 
-def load(made, hosts, seconds: float, per_s: float, prefix: str = "j"):
+def submit_load(made, hosts, seconds: float, per_s: float, prefix: str = "j"):
   """Hands in the sheets' mix of jobs at `hosts`, `per_s` in all."""
   kinds = ((17, 8, 60), (3, 4, 900), (50, 2, 200))
   requests = []
@@ -63,7 +65,7 @@
   return requests
 
 
-def outcomes(made, requests) -> dict[model.Outcome, int]:
+def count_outcomes(made, requests) -> dict[model.Outcome, int]:
   found = {}
   for request in requests:
     outcome = made.answers[request].answer.outcome
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -27,29 +27,27 @@
   return sum(endpoint.superseded for endpoint in made.endpoints.values())
 
 
-def hand_in(
-    made, host: str, name: str, crash_after_s: float | None, is_kept=True
-):
+def hand_in(made, host: str, name: str, crash_s: float | None, is_kept=True):
   make = kept.job if is_kept else fleets.job
   wanted = make(name, 2, 400)
-  return made.submit(host, wanted, [0.4] * 2, 20.0, crash_after_s)
+  return made.submit(host, wanted, [0.4] * 2, 20.0, crash_s)
 
 
 @pytest.mark.parametrize("crash_s", CRASH_S)
-def test_kept_task_that_crashes_its_endpoints_is_given_up(crash_after_s):
-  made = fleets.fleet()
-  hand_in(made, "a0", "bad", crash_after_s)
+def test_kept_task_that_crashes_its_endpoints_is_given_up(crash_s):
+  made = fleets.build_fleet()
+  hand_in(made, "a0", "bad", crash_s)
   made.clock.run_until(20)
-  assert made.kept.states["bad"] is model.KeptJobState.FAILED
+  assert made.kept_store.states["bad"] is model.KeptJobState.FAILED
   assert starts_of(made, "bad") <= MOST_STARTS
   assert crashes(made) <= MOST_STARTS
   assert made.broken == []
 
 
 @pytest.mark.parametrize("crash_s", CRASH_S)
-def test_caller_is_told_at_once_that_its_task_crashes_endpoints(crash_after_s):
-  made = fleets.fleet()
-  request = hand_in(made, "a0", "bad", crash_after_s, is_kept=False)
+def test_caller_is_told_at_once_that_its_task_crashes_endpoints(crash_s):
+  made = fleets.build_fleet()
+  request = hand_in(made, "a0", "bad", crash_s, is_kept=False)
   made.clock.run_until(20)
   answered = made.answers[request].answer
   assert answered.outcome is model.Outcome.FAILED
@@ -60,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_losses_are_counted_across_changes_of_holder(seed):
-  made = fleets.fleet(seed=seed)
+  made = fleets.build_fleet(seed=seed)
   hand_in(made, "a0", "bad", 0.05)
   for number in range(4):
     when = made.rng.uniform(0.3, 1.5) * (number + 1)
@@ -78,40 +76,40 @@
 
 
 def test_task_whose_endpoints_were_cut_off_is_not_given_up():
-  made = fleets.fleet()
+  made = fleets.build_fleet()
   hand_in(made, "a0", "good", None)
   for _ in range(4):
     made.clock.run_until(made.clock.now + 0.1)
     for endpoint in made.endpoints.values():
       if any(run.task.job_id == "good" for run in endpoint.running):
-        endpoint.unreachable = True
+        endpoint.dark = True
         made.clock.after(4.0, lambda e=endpoint: setattr(e, "dark", False))
     made.clock.run_until(made.clock.now + 1.2)
   made.clock.run_until(30)
-  assert made.kept.states["good"] is model.KeptJobState.DONE
+  assert made.kept_store.states["good"] is model.KeptJobState.DONE
   assert made.broken == []
 
 
 def test_job_whose_endpoint_crashed_under_another_task_is_done():
-  made = fleets.fleet(seed=3)
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 8, 10)
+  made = fleets.build_fleet(seed=3)
+  requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 8, 10)
   for number in range(3):
     made.clock.at(
         2.0 + number,
         lambda n=number: hand_in(made, "a0", f"bad{n}", 0.05),
     )
   made.clock.run_until(25)
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found.get(model.Outcome.FAILED, 0) == 0
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
   for number in range(3):
-    assert made.kept.states[f"bad{number}"] is model.KeptJobState.FAILED
+    assert made.kept_store.states[f"bad{number}"] is model.KeptJobState.FAILED
     assert starts_of(made, f"bad{number}") <= MOST_STARTS
   assert made.broken == []
 
 
 def test_endpoints_that_leave_as_planned_are_no_losses():
-  made = fleets.fleet()
+  made = fleets.build_fleet()
   hand_in(made, "a0", "good", None)
   made.clock.run_until(1.1)
   (owner,) = fleets.owner_of(made, "a").state.owners.values()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -23,13 +23,13 @@
 
 
 def done_share(fleet, requests) -> float:
-  found = fleets.outcomes(fleet, requests)
+  found = fleets.count_outcomes(fleet, requests)
   return found.get(model.Outcome.DONE, 0) / len(requests)
 
 
 def test_nothing_starts_in_an_evacuated_data_centre_and_others_serve():
-  fleet = fleets.fleet()
-  requests = fleets.load(fleet, list(fleet.hosts.values()), 4.0, 25)
+  fleet = fleets.build_fleet()
+  requests = fleets.submit_load(fleet, list(fleet.hosts.values()), 4.0, 25)
   fleet.clock.at(2.0, lambda: fleet.evacuate("a"))
   fleet.clock.run_until(2.0 + KNOWN_S)
   before = starts_in(fleet, "a")
@@ -41,21 +41,21 @@
 
 
 def test_data_centre_taken_back_gets_work_again():
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   fleet.evacuate("a")
   fleet.clock.run_until(1.2)
-  fleets.load(fleet, fleets.zone_hosts(fleet, "a"), 1.0, 20)
+  fleets.submit_load(fleet, fleets.zone_hosts(fleet, "a"), 1.0, 20)
   fleet.clock.run_until(2.4)
   assert not starts_in(fleet, "a")
   fleet.evacuate("a", wanted=False)
   fleet.clock.run_until(2.5)
-  fleets.load(fleet, fleets.zone_hosts(fleet, "a"), 1.0, 20, "k")
+  fleets.submit_load(fleet, fleets.zone_hosts(fleet, "a"), 1.0, 20, "k")
   fleet.clock.run_until(4.0)
   assert starts_in(fleet, "a")
 
 
 def test_job_with_tasks_left_to_start_goes_on_in_another_data_centre():
-  fleet = fleets.fleet(endpoints=8)
+  fleet = fleets.build_fleet(endpoints=8)
   fleet.evacuate("b")
   fleet.evacuate("c")
   fleet.clock.run_until(1.1)
@@ -79,7 +79,7 @@
 
 def test_begun_job_is_handed_back_when_its_runs_are_over():
   """One task failed and must run again, the others are at work."""
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   job = fleets.job("j", 4, 800, 2000)
   request = fleet.submit("a0", job, [0.8] * 4, 5.0)
   fleet.clock.run_until(1.3)
@@ -99,7 +99,7 @@
 
 
 def test_all_data_centres_evacuated_refuses_at_once_and_truthfully():
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   for zone in fleets.ZONES:
     fleet.evacuate(zone)
   fleet.clock.run_until(1.1)
@@ -116,8 +116,8 @@
 
 
 def test_next_holder_of_an_evacuated_data_centre_starts_nothing():
-  fleet = fleets.fleet()
-  requests = fleets.load(fleet, list(fleet.hosts.values()), 5.0, 25)
+  fleet = fleets.build_fleet()
+  requests = fleets.submit_load(fleet, list(fleet.hosts.values()), 5.0, 25)
   fleet.clock.at(1.5, lambda: fleet.evacuate("a"))
   fleet.clock.at(2.0, lambda: fleet.kill(fleets.owner_of(fleet, "a").name))
   fleet.clock.run_until(1.5 + KNOWN_S)
@@ -129,7 +129,7 @@
 
 
 def test_host_that_has_not_read_the_requests_starts_nothing():
-  fleet = fleets.fleet(hosts=1)
+  fleet = fleets.build_fleet(hosts=1)
   fleet.evacuate("b")
   fleet.evacuate("c")
   fleet.clock.run_until(1.1)
@@ -162,10 +162,10 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_evacuations_beside_random_faults_break_no_rule(seed):
   """Data centres are evacuated and taken back while hosts and calls fail."""
-  fleet = fleets.fleet(seed=seed)
+  fleet = fleets.build_fleet(seed=seed)
   rng = random.Random(seed)
   last = test_random_faults.LOAD_S
-  requests = fleets.load(fleet, list(fleet.hosts.values()), last, 40)
+  requests = fleets.submit_load(fleet, list(fleet.hosts.values()), last, 40)
   test_random_faults.Faults(fleet, seed).plan()
   for zone in rng.sample(fleets.ZONES, 2):
     begin = rng.uniform(1.5, last - 4)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,13 +21,13 @@
 def test_shard_moves_to_a_roomy_host_that_comes_up_and_stays_there():
   fleet = fleet_of_small_hosts()
   small = list(fleet.hosts.values())
-  requests = fleets.load(fleet, small, 10.0, 20)
+  requests = fleets.submit_load(fleet, small, 10.0, 20)
   fleet.clock.at(5.0, lambda: fleet.add_host("big", "a", ROOMY))
   fleet.clock.run_until(7.0)
   assert fleets.owner_of(fleet, "a").name == "big"
   fleet.clock.run_until(14.0)
   assert fleets.owner_of(fleet, "a").name == "big"
-  found = fleets.outcomes(fleet, requests)
+  found = fleets.count_outcomes(fleet, requests)
   assert found.get(model.Outcome.DONE, 0) > 0.97 * len(requests)
   assert fleet.broken == []
   taken = [line for h in small for line in h.log if line.event == "shard_taken"]
@@ -79,7 +79,7 @@
 
 def test_host_that_can_have_no_job_run_says_it_is_not_ready():
   """Callers or none: the balancer moves on when no host of the place is ready."""
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   fleet.evacuate("a")
   host, idle = fleet.hosts["a0"], fleet.hosts["a1"]
   for cut in (host, idle):
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -67,9 +67,9 @@
   for name, requests in submitted.items():
     found = [outcome(sim, request) for request in requests]
     if model.Outcome.KEPT in found:
-      assert sim.kept.states[name] is model.KeptJobState.DONE, name
+      assert sim.kept_store.states[name] is model.KeptJobState.DONE, name
     elif set(found) == {model.Outcome.NOT_RUN}:
-      assert name not in started and name not in sim.kept.states
+      assert name not in started and name not in sim.kept_store.states
 
 
 def accepted(sim, submitted) -> int:
@@ -81,22 +81,22 @@
 
 
 def test_job_is_stored_before_it_is_accepted_and_runs_without_its_caller():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   request = submit(sim, "a0", job("k", 3, 200))
   sim.clock.run_until(1.001)
   assert outcome(sim, request) is None
   sim.clock.run_until(1.05)
   assert outcome(sim, request) is model.Outcome.KEPT
   assert sim.answers[request].took_s < 0.03
-  assert sim.kept.states["k"] is model.KeptJobState.OPEN
+  assert sim.kept_store.states["k"] is model.KeptJobState.OPEN
   sim.clock.run_until(1.4)
-  assert sim.kept.states["k"] is model.KeptJobState.DONE
-  assert not sim.kept.open[SHARD]
+  assert sim.kept_store.states["k"] is model.KeptJobState.DONE
+  assert not sim.kept_store.open[SHARD]
   assert sim.broken == []
 
 
 def test_results_are_acknowledged_once_they_are_stored():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("k", 3, 200))
   sim.clock.run_until(1.215)
   assert not sim.acknowledged_done
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_next_owner_finishes_the_jobs_of_a_killed_one(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   submitted = load(sim, hosts_of_zone(sim, "a"), 4, 25)
   sim.clock.at(2.5, lambda: sim.kill(owner.name))
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("load_s", (0.02, 0.1, 0.4))
 def test_run_that_ends_while_the_records_are_read_is_not_run_again(load_s):
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   sim.kept_load_delay_s = load_s
   submitted = load(sim, hosts_of_zone(sim, "a"), 2, 25)
   owner = fleets.owner_of(sim, "a")
@@ -130,21 +130,21 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_best_effort_jobs_end_while_the_records_are_read(seed):
   """Their results must not be stored, whenever the jobs are offered again."""
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   sim.kept_load_delay_s = 0.3
-  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 3, 30)
+  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 3, 30)
   submitted = load(sim, hosts_of_zone(sim, "a"), 3, 10)
   owner = fleets.owner_of(sim, "a")
   sim.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
   sim.clock.run_until(10)
   assert_guarantees_hold(sim, submitted)
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_hosts_lose_power_and_every_accepted_job_is_done(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   submitted = load(sim, all_hosts(sim), 3, 40)
 
   def restart():
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_that_wakes_writes_nothing_more(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
   submitted = load(sim, lambda: others, 4, 20)
@@ -176,7 +176,7 @@
 
 
 def test_unavailable_store_refuses_new_jobs_and_finishes_accepted_ones():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submitted = load(sim, all_hosts(sim), 7, 30)
   sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
   sim.clock.at(6.0, lambda: setattr(sim, "store_up", True))
@@ -190,7 +190,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_lost_and_late_writes_lose_no_job_and_repeat_no_task(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.05
   submitted = load(sim, all_hosts(sim), 6, 30)
   owner = fleets.owner_of(sim, "b")
@@ -203,7 +203,7 @@
 
 
 def test_live_owner_that_loses_its_claim_loses_no_job():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submitted = load(sim, hosts_of_zone(sim, "a"), 4, 20)
   sim.clock.at(2.0, lambda: sim.delete_claim(SHARD))
   sim.clock.run_until(14)
@@ -211,7 +211,7 @@
 
 
 def test_job_submitted_at_two_data_centres_runs_once():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   wanted = job("k", 4, 200)
   first = submit(sim, "a0", wanted)
   second = submit(sim, "b0", wanted)
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("host", ("a0", "a1", "c2"))
 def test_job_resubmitted_after_its_end_is_accepted_and_starts_nothing(host):
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   wanted = job("k", 2, 100)
   submit(sim, "a0", wanted)
   sim.clock.run_until(3)
@@ -231,17 +231,17 @@
   sim.clock.run_until(5)
   assert outcome(sim, again) is model.Outcome.KEPT
   assert sum(len(e.starts) for e in sim.endpoints.values()) == 2
-  assert sim.kept.states["k"] is model.KeptJobState.DONE
+  assert sim.kept_store.states["k"] is model.KeptJobState.DONE
 
 
 def test_cancelled_job_is_stopped_and_not_restarted():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("k", 4, 900))
   sim.clock.run_until(1.3)
   request = sim.query_kept_job("b1", "k", "a", cancel=True)
   sim.clock.run_until(1.5)
   assert outcome(sim, request) is model.Outcome.CANCELLED
-  assert sim.kept.states["k"] is model.KeptJobState.CANCELLED
+  assert sim.kept_store.states["k"] is model.KeptJobState.CANCELLED
   assert sum(len(e.running) for e in sim.endpoints.values()) == 0
   sim.kill(fleets.owner_of(sim, "a").name)
   sim.clock.run_until(6)
@@ -249,7 +249,7 @@
 
 
 def test_cancel_of_a_finished_or_unknown_job_reports_that():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("k", 1, 100))
   sim.clock.run_until(2)
   finished = sim.query_kept_job("a1", "k", "a", cancel=True)
@@ -260,7 +260,7 @@
 
 
 def test_state_of_a_finished_job_is_reported_once_it_is_stored():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("k", 2, 200))
   sim.clock.run_until(1.1)
   open_still = sim.query_kept_job("b0", "k", "a", cancel=False)
@@ -268,7 +268,7 @@
   assert outcome(sim, open_still) is model.Outcome.KEPT
   # The tasks end at 1.207 s, are listed within 1 ms, stored after 4 more.
   sim.clock.run_until(1.2085)
-  assert sim.kept.states["k"] is model.KeptJobState.OPEN
+  assert sim.kept_store.states["k"] is model.KeptJobState.OPEN
   just_finished = sim.query_kept_job("b0", "k", "a", cancel=False)
   sim.clock.run_until(1.3)
   assert outcome(sim, just_finished) is model.Outcome.DONE
@@ -276,34 +276,34 @@
 
 
 def test_cancel_survives_a_crash_of_the_holder():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   owner = fleets.owner_of(sim, "a")
-  host = fleets.other_than(sim, owner)
+  host = fleets.other_host(sim, owner)
   submit(sim, host.name, job("k", 4, 900))
   sim.clock.run_until(1.3)
   request = sim.query_kept_job(host.name, "k", "a", cancel=True)
   sim.kill(owner.name)
   sim.clock.run_until(4)
   assert outcome(sim, request) is model.Outcome.CANCELLED
-  assert sim.kept.states["k"] is model.KeptJobState.CANCELLED
+  assert sim.kept_store.states["k"] is model.KeptJobState.CANCELLED
   assert sim.broken == []
 
 
 @pytest.mark.parametrize("killed", (False, True))
 def test_task_that_always_fails_is_attempted_as_often_as_allowed(killed):
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("k", 1, 100, attempts=3))
   sim.task_profiles[model.Task("k", 0, 0)].fails = True
   if killed:
     sim.clock.run_until(1.13)
     sim.kill(fleets.owner_of(sim, "a").name)
   sim.clock.run_until(8)
-  assert sim.kept.states["k"] is model.KeptJobState.FAILED
+  assert sim.kept_store.states["k"] is model.KeptJobState.FAILED
   assert sum(len(e.starts) for e in sim.endpoints.values()) == 3
 
 
 def test_steps_run_in_order_across_a_change_of_holder():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   steps = (
       model.Step(2, fleets.NEED, 200),
       model.Step(2, fleets.NEED, 200, (0,)),
@@ -313,27 +313,27 @@
   sim.clock.run_until(1.25)
   sim.kill(fleets.owner_of(sim, "a").name)
   sim.clock.run_until(8)
-  assert sim.kept.states["k"] is model.KeptJobState.DONE
+  assert sim.kept_store.states["k"] is model.KeptJobState.DONE
   assert sum(len(e.starts) for e in sim.endpoints.values()) == 4
   assert sim.broken == []
 
 
 def test_finished_jobs_are_deleted_also_by_another_holder():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("early", 1, 100))
   sim.clock.run_until(3)
   sim.kill(fleets.owner_of(sim, "a").name)
   sim.clock.run_until(5)
   host = fleets.owner_of(sim, "a")
   submit(sim, host.name, job("late", 1, 100))
-  sim.clock.run_until(hosts_lib.ENDED_KEPT_S)
-  assert set(sim.kept.states) == {"early", "late"}
-  sim.clock.run_until(hosts_lib.ENDED_KEPT_S + 45)
-  assert not sim.kept.states
+  sim.clock.run_until(hosts_lib.ENDED_JOB_TTL_S)
+  assert set(sim.kept_store.states) == {"early", "late"}
+  sim.clock.run_until(hosts_lib.ENDED_JOB_TTL_S + 45)
+  assert not sim.kept_store.states
 
 
 def test_waiting_jobs_are_counted_at_every_host():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   submit(sim, "a0", job("fill", 18, 3000))
   sim.clock.run_until(1.2)
   for number in range(3):
--- a/tests/test_new_holder.py
+++ b/tests/test_new_holder.py
@@ -18,7 +18,7 @@
 
 
 def test_new_holder_takes_jobs_while_it_asks_its_endpoints():
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   host = just_chosen(fleet)
   (held,) = host.state.owners.values()
   assert held.awaiting_endpoints
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("wait_s", [0.0, 0.004, 0.008, 0.009, 0.0095])
 def test_new_holder_refuses_at_once_what_its_endpoints_can_never_do(wait_s):
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   host = just_chosen(fleet)
   fleet.clock.run_until(fleet.clock.now + wait_s)
   wide = fleets.job("wide", 400, 1000)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -87,7 +87,7 @@
 
   def fault_endpoint_goes_dark(self):
     endpoint = self._made.endpoints[self._rng.choice(self._names)]
-    endpoint.unreachable = True
+    endpoint.dark = True
     self._later(lambda: setattr(endpoint, "dark", False))
 
   def fault_orders_are_lost(self):
@@ -124,8 +124,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_rule_is_broken_and_most_jobs_are_done(seed):
-  made = fleets.fleet(seed=seed)
-  requests = fleets.load(made, list(made.hosts.values()), LOAD_S, LOAD_PER_S)
+  made = fleets.build_fleet(seed=seed)
+  requests = fleets.submit_load(
+      made, list(made.hosts.values()), LOAD_S, LOAD_PER_S
+  )
   Faults(made, seed).plan()
   made.clock.run_until(END_S)
   assert made.broken == []
@@ -136,7 +138,7 @@
 
 def test_lease_of_an_emulated_endpoint_ends_at_any_millisecond():
   """A lease whose end was rounded down never ended."""
-  made = fleets.fleet()
+  made = fleets.build_fleet()
   endpoint = made.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -74,7 +74,7 @@
 def ping(made, owner, known: int = 0) -> linkmessages.Pong:
   """Returns what a holder of an emulated fleet answers to a ping."""
   shard = model.Shard(owner.data_centre)
-  asker = fleets.other_than(made, owner).process
+  asker = fleets.other_host(made, owner).process
   effects = reducer.reduce(
       owner.state, linkmessages.Ping(shard, asker, 3.5, known), made.clock.now
   )
@@ -85,7 +85,7 @@
 
 
 def test_holder_tells_nothing_before_it_is_settled():
-  made = fleets.fleet()
+  made = fleets.build_fleet()
   owner = fleets.owner_of(made, "a")
   assert ping(made, owner).roster == 0
   made.clock.run_until(4.0)
@@ -151,16 +151,16 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_of_a_killed_holder_begin_again_at_once(seed):
   """Tasks that are not found running used to wait 1.5 s for old leases."""
-  made = fleets.fleet(seed=seed)
+  made = fleets.build_fleet(seed=seed)
   made.clock.run_until(4.0)  # The first holders are settled.
   owner = fleets.owner_of(made, "a")
   others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.load(made, others, 4, 40)
+  requests = fleets.submit_load(made, others, 4, 40)
   made.clock.at(6.0, lambda: made.kill(owner.name))
   made.clock.run_until(12)
   assert made.broken == []
   slow = [r for r in requests if made.answers[r].took_s > 1.6]
-  done = fleets.outcomes(made, requests)[model.Outcome.DONE]
+  done = fleets.count_outcomes(made, requests)[model.Outcome.DONE]
   assert done > 0.95 * len(requests)
   # A task of 0.9 s may be 1.4 times as long, and run twice.
   assert len(slow) <= 1
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -9,7 +9,7 @@
 
 
 def test_one_host_in_each_data_centre_owns_its_endpoints():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   fences = set()
   for zone in fleets.ZONES:
     (owner,) = fleets.owner_of(sim, zone).state.owners.values()
@@ -19,11 +19,11 @@
 
 
 def test_light_load_is_answered_completely_and_in_time():
-  sim = fleets.fleet()
-  requests = fleets.load(sim, list(sim.hosts.values()), 10, 60)
+  sim = fleets.build_fleet()
+  requests = fleets.submit_load(sim, list(sim.hosts.values()), 10, 60)
   sim.clock.run_until(15)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
   for request in requests:
     answer = sim.answers[request].answer
@@ -32,8 +32,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_from_a_live_owner_starts_no_task_twice(seed):
-  sim = fleets.fleet(seed=seed)
-  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 6, 40)
+  sim = fleets.build_fleet(seed=seed)
+  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 6, 40)
   owner = fleets.owner_of(sim, "a")
   # The owner is cut off from the store: its claim expires and another host
   # takes the shard.
@@ -41,20 +41,20 @@
   sim.clock.run_until(12)
   assert fleets.owner_of(sim, "a") is not owner
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_owner_is_replaced_and_its_runs_are_adopted(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  requests = fleets.load(sim, others, 6, 40)
+  requests = fleets.submit_load(sim, others, 6, 40)
   sim.clock.at(3.0, lambda: sim.kill(owner.name))
   sim.clock.run_until(12)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
   (new_owner,) = fleets.owner_of(sim, "a").state.owners.values()
   assert new_owner.counters["adopted"] > 0
@@ -62,24 +62,24 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_is_fenced_off_when_it_wakes(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  requests = fleets.load(sim, others, 8, 40)
+  requests = fleets.submit_load(sim, others, 8, 40)
   sim.clock.at(3.0, lambda: setattr(owner, "frozen", True))
   sim.clock.at(6.0, owner.thaw)
   sim.clock.run_until(14)
   assert fleets.owner_of(sim, "a") is not owner
   assert sim.broken == []
-  assert len(fleets.outcomes(sim, requests)) >= 1
+  assert len(fleets.count_outcomes(sim, requests)) >= 1
   assert len(sim.answers) == len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_runs_of_a_killed_coordinator_are_stopped_before_a_resubmission(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
-  first = fleets.other_than(sim, owner)
+  first = fleets.other_host(sim, owner)
   wanted = fleets.job("again", 4, 900)
   sim.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
   sim.clock.run_until(1.1)
@@ -94,22 +94,20 @@
 
 
 def test_late_orders_overload_no_endpoint_and_start_no_task_twice():
-  sim = fleets.fleet()
-  fleets.load(sim, list(sim.hosts.values()), 20, 70)
+  sim = fleets.build_fleet()
+  fleets.submit_load(sim, list(sim.hosts.values()), 20, 70)
   for number, name in enumerate(sim.endpoints):
     endpoint = sim.endpoints[name]
     begin = 2.0 + number * 0.6
-    sim.clock.at(begin, lambda e=endpoint: setattr(e, "order_delay_s", 3.0))
-    sim.clock.at(
-        begin + 0.4, lambda e=endpoint: setattr(e, "order_delay_s", 0.0)
-    )
+    sim.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
+    sim.clock.at(begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0))
   sim.clock.run_until(30)
   assert sim.broken == []
 
 
 def test_draining_endpoint_gets_no_new_task():
-  sim = fleets.fleet()
-  fleets.load(sim, fleets.zone_hosts(sim, "a"), 8, 30)
+  sim = fleets.build_fleet()
+  fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 8, 30)
   sim.clock.at(3.0, lambda: sim.drain("e-a0"))
   sim.clock.run_until(4.2)
   before = len(sim.endpoints["e-a0"].starts)
@@ -119,7 +117,7 @@
 
 
 def test_caller_that_disconnects_frees_its_resources():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   request = sim.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
   sim.clock.run_until(1.2)
   assert sum(len(e.running) for e in sim.endpoints.values()) == 4
@@ -129,29 +127,29 @@
 
 
 def test_unavailable_store_changes_nothing_for_callers():
-  sim = fleets.fleet()
-  requests = fleets.load(sim, list(sim.hosts.values()), 8, 50)
+  sim = fleets.build_fleet()
+  requests = fleets.submit_load(sim, list(sim.hosts.values()), 8, 50)
   sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
   sim.clock.run_until(14)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_live_owner_that_loses_its_claim_gets_it_back():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   owner = fleets.owner_of(sim, "a")
-  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 4, 30)
+  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 4, 30)
   sim.clock.at(2.0, lambda: sim.delete_claim(model.Shard("a")))
   sim.clock.run_until(8)
   assert fleets.owner_of(sim, "a") is owner
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_crashed_endpoints_task_runs_again_elsewhere():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   request = sim.submit("a0", fleets.job("j", 2, 200, 3000), [0.4] * 2, 3.5)
   sim.clock.run_until(1.1)
   victim = next(e for e in sim.endpoints.values() if e.running)
@@ -162,35 +160,35 @@
 
 
 def test_failing_endpoint_is_quarantined():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   sim.endpoints["e-a0"].failing = True
   # The load goes to all data centres. A single one would pass jobs on instead
   # of queueing them, and the endpoints compared below would stay idle.
-  requests = fleets.load(sim, list(sim.hosts.values()), 6, 60)
+  requests = fleets.submit_load(sim, list(sim.hosts.values()), 6, 60)
   sim.clock.run_until(12)
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
   starts = {n: len(e.starts) for n, e in sim.endpoints.items()}
   assert starts["e-a0"] < 0.3 * starts["e-a1"]
 
 
 def test_stuck_run_is_stopped_and_run_elsewhere():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   sim.endpoints["e-a0"].hanging = True
-  requests = fleets.load(sim, fleets.zone_hosts(sim, "a"), 6, 30)
+  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 6, 30)
   sim.clock.run_until(12)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_with_expired_entries_starts_no_task_twice(seed):
   """A new holder's first endpoint list may lack some that run its tasks."""
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  fleets.load(sim, others, 6, 60)
+  fleets.submit_load(sim, others, 6, 60)
   sim.clock.at(2.9, lambda: sim.unlisted.update(("e-a0", "e-a1", "e-a2")))
   sim.clock.at(3.0, lambda: sim.kill(owner.name))
   sim.clock.at(4.5, sim.unlisted.clear)
@@ -200,37 +198,37 @@
 
 def test_all_hosts_serve_half_a_second_after_a_restart():
   """The claims in the store name processes that no longer exist."""
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   names = [(h.name, h.data_centre) for h in sim.hosts.values()]
   for name, _ in names:
     sim.kill(name)
   sim.clock.run_until(1.2)
   for name, zone in names:
     sim.add_host(name, zone)
-  requests = fleets.load(sim, list(sim.hosts.values()), 1.0, 60)
+  requests = fleets.submit_load(sim, list(sim.hosts.values()), 1.0, 60)
   sim.clock.run_until(1.6)
   assert all(fleets.owner_of(sim, zone) for zone in fleets.ZONES)
   sim.clock.run_until(6)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
   assert model.Outcome.UNKNOWN not in found
 
 
 def test_lost_orders_quarantine_no_endpoint():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   for endpoint in sim.endpoints.values():
     endpoint.loss_rate = 0.1
-  requests = fleets.load(sim, list(sim.hosts.values()), 8, 50)
+  requests = fleets.submit_load(sim, list(sim.hosts.values()), 8, 50)
   sim.clock.run_until(14)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 def test_host_just_started_leaves_a_claim_to_its_live_holder():
   """The claim expires while the store is unavailable, the holder is alive."""
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   owner = fleets.owner_of(sim, "a")
   sim.clock.run_until(2.0)
   sim.delete_claim(model.Shard("a"))
@@ -242,9 +240,9 @@
 
 def test_decline_of_an_earlier_offer_does_not_reroute_a_job():
   """The job is offered again after a pause, then the first answer arrives."""
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   owner = fleets.owner_of(sim, "a")
-  host = fleets.other_than(sim, owner)
+  host = fleets.other_host(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
   record.offer_count += 1  # As if it had been offered again meanwhile.
@@ -257,7 +255,7 @@
 
 
 def test_ending_process_answers_all_waiting_callers():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   request = sim.submit(
       "a0", fleets.job("long", 2, 3000), [3.0] * 2, deadline_s=9.0
   )
@@ -273,9 +271,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_planned_stops_in_turn_start_no_task_twice(seed):
-  sim = fleets.fleet(seed=seed)
+  sim = fleets.build_fleet(seed=seed)
   hosts = list(sim.hosts.values())
-  requests = fleets.load(sim, hosts, 8, 70)
+  requests = fleets.submit_load(sim, hosts, 8, 70)
   for number, zone in enumerate(fleets.ZONES * 2):
     when = 1.5 + number
 
@@ -294,15 +292,15 @@
     sim.clock.at(when, stop)
   sim.clock.run_until(15)
   assert sim.broken == []
-  found = fleets.outcomes(sim, requests)
+  found = fleets.count_outcomes(sim, requests)
   assert found[model.Outcome.DONE] > 0.93 * len(requests)
 
 
 def test_job_offered_to_a_replaced_holder_is_never_reported_as_not_run():
   """The holder accepts the job and is replaced before its answer arrives."""
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   owner = fleets.owner_of(sim, "a")
-  host = fleets.other_than(sim, owner)
+  host = fleets.other_host(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
   shard = model.Shard("a")
@@ -324,9 +322,9 @@
 
 def test_job_with_an_unanswered_offer_is_never_reported_as_not_run():
   """The caller's deadline passes while the holder's answer is on its way."""
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   owner = fleets.owner_of(sim, "a")
-  host = fleets.other_than(sim, owner)
+  host = fleets.other_host(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
   host.partitioned_from.add(
       owner.name
@@ -338,7 +336,7 @@
 
 
 def test_job_starts_in_another_data_centre_rather_than_wait():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   fill = sim.submit("a0", fleets.job("fill", 18, 150), [0.15] * 18)
   sim.clock.run_until(1.05)
   request = sim.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
@@ -356,7 +354,7 @@
 
 
 def test_job_waits_in_the_data_centre_with_the_shortest_wait():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   for zone, run_ms in zip(fleets.ZONES, (200, 100, 200), strict=True):
     filling = fleets.job(f"fill-{zone}", 18, run_ms)
     sim.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
@@ -368,7 +366,7 @@
 
 
 def test_job_that_cannot_end_in_time_is_refused_immediately():
-  sim = fleets.fleet()
+  sim = fleets.build_fleet()
   wide = fleets.job("wide", 400, 1000)
   request = sim.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
   sim.clock.run_until(1.2)
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -36,10 +36,10 @@
 
 def test_holder_that_lost_its_power_is_replaced_before_its_claim_lapses():
   """A job of 0.9 s that it had is done 0.8 s sooner than after a lapse."""
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   fleet.clock.run_until(3.0)
   before = fleets.owner_of(fleet, "a")
-  caller = fleets.other_than(fleet, before)
+  caller = fleets.other_host(fleet, before)
   job = fleets.job("j", 4, 900, 2000)
   request = fleet.submit(caller.name, job, [0.9] * 4, 5.0)
   fleet.clock.run_until(3.3)
@@ -52,7 +52,7 @@
 
 
 def test_holder_cut_off_from_all_hosts_is_replaced_though_its_claim_is_kept():
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   fleet.clock.run_until(3.0)
   before = fleets.owner_of(fleet, "a")
   others = [h for h in fleet.hosts.values() if h is not before]
@@ -63,22 +63,22 @@
   ]
   assert len(holders) == 1
   assert not before.state.owners, "it was told by the store, or by a fence"
-  requests = fleets.load(fleet, others, 3.0, 30)
+  requests = fleets.submit_load(fleet, others, 3.0, 30)
   fleet.clock.run_until(9.0)
-  found = fleets.outcomes(fleet, requests)
+  found = fleets.count_outcomes(fleet, requests)
   assert found.get(model.Outcome.DONE, 0) > 0.95 * len(requests)
   assert fleet.broken == []
 
 
 def test_host_cut_off_from_its_holder_alone_takes_nothing_over():
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   before = fleets.owner_of(fleet, "a")
-  fleets.other_than(fleet, before).partitioned_from.add(before.name)
+  fleets.other_host(fleet, before).partitioned_from.add(before.name)
   assert holder_after(fleet, 4.0) is before
 
 
 def test_data_centre_cut_off_from_the_others_keeps_its_holder():
-  fleet = fleets.fleet()
+  fleet = fleets.build_fleet()
   before = fleets.owner_of(fleet, "a")
   near = fleets.zone_hosts(fleet, "a")
   for host in near:
