--- a/fescueturn/scheduler/coordinatorstate.py
+++ b/fescueturn/scheduler/coordinatorstate.py
@@ -151,7 +151,7 @@
     return since is None or self.now - since < UNSERVED_S
 
   @property
-  def needs_fast_ticks(self) -> bool:
+  def has_timeout_soon(self) -> bool:
     """True while something here waits for a time shorter than a ping's."""
     return bool(self.queries) or any(
         job.phase not in AT_HOLDER or job.deadline - self.now < DEADLINE_NEAR_S
--- a/fescueturn/scheduler/state.py
+++ b/fescueturn/scheduler/state.py
@@ -61,7 +61,7 @@
         self.owners
         or self.draining
         or free
-        or self.coordinator.needs_fast_ticks
+        or self.coordinator.has_timeout_soon
     )
 
   def snapshot(self) -> dict:
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,6 +1,6 @@
 """Fleets of emulated hosts and endpoints, and their load, for tests."""
 
-from fescueturn.emulator import build_fleet as fleet_lib
+from fescueturn.emulator import fleet as fleet_lib
 from fescueturn.emulator import hosts as hosts_lib
 from fescueturn.scheduler import model
 
@@ -13,9 +13,7 @@
   return model.Job(name, "s", "spec", steps, 3, 1.6, slo_ms)
 
 
-def build_fleet(
-    hosts: int = 3, endpoints: int = 8, seed: int = 0
-) -> fleet_lib.Fleet:
+def fleet(hosts: int = 3, endpoints: int = 8, seed: int = 0) -> fleet_lib.Fleet:
   made = fleet_lib.Fleet(seed)
   for zone in ZONES:
     for number in range(hosts):
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("crash_s", CRASH_S)
 def test_kept_task_that_crashes_its_endpoints_is_given_up(crash_s):
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   hand_in(made, "a0", "bad", crash_s)
   made.clock.run_until(20)
   assert made.kept_store.states["bad"] is model.KeptJobState.FAILED
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("crash_s", CRASH_S)
 def test_caller_is_told_at_once_that_its_task_crashes_endpoints(crash_s):
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   request = hand_in(made, "a0", "bad", crash_s, is_kept=False)
   made.clock.run_until(20)
   answered = made.answers[request].answer
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_losses_are_counted_across_changes_of_holder(seed):
-  made = fleets.build_fleet(seed=seed)
+  made = fleets.fleet(seed=seed)
   hand_in(made, "a0", "bad", 0.05)
   for number in range(4):
     when = made.rng.uniform(0.3, 1.5) * (number + 1)
@@ -76,7 +76,7 @@
 
 
 def test_task_whose_endpoints_were_cut_off_is_not_given_up():
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   hand_in(made, "a0", "good", None)
   for _ in range(4):
     made.clock.run_until(made.clock.now + 0.1)
@@ -91,7 +91,7 @@
 
 
 def test_job_whose_endpoint_crashed_under_another_task_is_done():
-  made = fleets.build_fleet(seed=3)
+  made = fleets.fleet(seed=3)
   requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 8, 10)
   for number in range(3):
     made.clock.at(
@@ -109,7 +109,7 @@
 
 
 def test_endpoints_that_leave_as_planned_are_no_losses():
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   hand_in(made, "a0", "good", None)
   made.clock.run_until(1.1)
   (owner,) = fleets.owner_of(made, "a").state.owners.values()
--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -26,7 +26,7 @@
 
 
 def test_job_with_a_step_left_moves_with_its_progress():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   request = sim.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
   sim.clock.run_until(1.1)
   assert test_kept_jobs.outcome(sim, request) is model.Outcome.KEPT
@@ -45,7 +45,7 @@
 def test_holder_that_crashes_during_moves_loses_no_job_and_runs_none_twice(
     seed,
 ):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.1
   submitted = test_kept_jobs.load(
       sim, test_kept_jobs.all_hosts(sim), 4.0, 20, "k"
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_are_moved_back_and_forth_under_random_faults(seed):
   """Data centres are evacuated in turn and reinstated after a short time."""
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   submitted = test_kept_jobs.load(
       sim, test_kept_jobs.all_hosts(sim), 10.0, 15, "k"
   )
@@ -80,7 +80,7 @@
 
 
 def test_job_stays_while_all_data_centres_are_evacuated_and_resumes_after():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   sim.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
   sim.clock.run_until(1.1)
   for zone in fleets.ZONES:
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -81,7 +81,7 @@
 
 
 def test_job_is_stored_before_it_is_accepted_and_runs_without_its_caller():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   request = submit(sim, "a0", job("k", 3, 200))
   sim.clock.run_until(1.001)
   assert outcome(sim, request) is None
@@ -96,7 +96,7 @@
 
 
 def test_results_are_acknowledged_once_they_are_stored():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("k", 3, 200))
   sim.clock.run_until(1.215)
   assert not sim.acknowledged_done
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_next_owner_finishes_the_jobs_of_a_killed_one(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   submitted = load(sim, hosts_of_zone(sim, "a"), 4, 25)
   sim.clock.at(2.5, lambda: sim.kill(owner.name))
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("load_s", (0.02, 0.1, 0.4))
 def test_run_that_ends_while_the_records_are_read_is_not_run_again(load_s):
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   sim.kept_load_delay_s = load_s
   submitted = load(sim, hosts_of_zone(sim, "a"), 2, 25)
   owner = fleets.owner_of(sim, "a")
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_best_effort_jobs_end_while_the_records_are_read(seed):
   """Their results must not be stored, whenever the jobs are offered again."""
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   sim.kept_load_delay_s = 0.3
   requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 3, 30)
   submitted = load(sim, hosts_of_zone(sim, "a"), 3, 10)
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_hosts_lose_power_and_every_accepted_job_is_done(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   submitted = load(sim, all_hosts(sim), 3, 40)
 
   def restart():
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_that_wakes_writes_nothing_more(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
   submitted = load(sim, lambda: others, 4, 20)
@@ -176,7 +176,7 @@
 
 
 def test_unavailable_store_refuses_new_jobs_and_finishes_accepted_ones():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submitted = load(sim, all_hosts(sim), 7, 30)
   sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
   sim.clock.at(6.0, lambda: setattr(sim, "store_up", True))
@@ -190,7 +190,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_lost_and_late_writes_lose_no_job_and_repeat_no_task(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.05
   submitted = load(sim, all_hosts(sim), 6, 30)
   owner = fleets.owner_of(sim, "b")
@@ -203,7 +203,7 @@
 
 
 def test_live_owner_that_loses_its_claim_loses_no_job():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submitted = load(sim, hosts_of_zone(sim, "a"), 4, 20)
   sim.clock.at(2.0, lambda: sim.delete_claim(SHARD))
   sim.clock.run_until(14)
@@ -211,7 +211,7 @@
 
 
 def test_job_submitted_at_two_data_centres_runs_once():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   wanted = job("k", 4, 200)
   first = submit(sim, "a0", wanted)
   second = submit(sim, "b0", wanted)
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("host", ("a0", "a1", "c2"))
 def test_job_resubmitted_after_its_end_is_accepted_and_starts_nothing(host):
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   wanted = job("k", 2, 100)
   submit(sim, "a0", wanted)
   sim.clock.run_until(3)
@@ -235,7 +235,7 @@
 
 
 def test_cancelled_job_is_stopped_and_not_restarted():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("k", 4, 900))
   sim.clock.run_until(1.3)
   request = sim.query_kept_job("b1", "k", "a", cancel=True)
@@ -249,7 +249,7 @@
 
 
 def test_cancel_of_a_finished_or_unknown_job_reports_that():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("k", 1, 100))
   sim.clock.run_until(2)
   finished = sim.query_kept_job("a1", "k", "a", cancel=True)
@@ -260,7 +260,7 @@
 
 
 def test_state_of_a_finished_job_is_reported_once_it_is_stored():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("k", 2, 200))
   sim.clock.run_until(1.1)
   open_still = sim.query_kept_job("b0", "k", "a", cancel=False)
@@ -276,7 +276,7 @@
 
 
 def test_cancel_survives_a_crash_of_the_holder():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   host = fleets.other_host(sim, owner)
   submit(sim, host.name, job("k", 4, 900))
@@ -291,7 +291,7 @@
 
 @pytest.mark.parametrize("killed", (False, True))
 def test_task_that_always_fails_is_attempted_as_often_as_allowed(killed):
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("k", 1, 100, attempts=3))
   sim.task_profiles[model.Task("k", 0, 0)].fails = True
   if killed:
@@ -303,7 +303,7 @@
 
 
 def test_steps_run_in_order_across_a_change_of_holder():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   steps = (
       model.Step(2, fleets.NEED, 200),
       model.Step(2, fleets.NEED, 200, (0,)),
@@ -319,7 +319,7 @@
 
 
 def test_finished_jobs_are_deleted_also_by_another_holder():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("early", 1, 100))
   sim.clock.run_until(3)
   sim.kill(fleets.owner_of(sim, "a").name)
@@ -333,7 +333,7 @@
 
 
 def test_waiting_jobs_are_counted_at_every_host():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   submit(sim, "a0", job("fill", 18, 3000))
   sim.clock.run_until(1.2)
   for number in range(3):
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_rule_is_broken_and_most_jobs_are_done(seed):
-  made = fleets.build_fleet(seed=seed)
+  made = fleets.fleet(seed=seed)
   requests = fleets.submit_load(
       made, list(made.hosts.values()), LOAD_S, LOAD_PER_S
   )
@@ -138,7 +138,7 @@
 
 def test_lease_of_an_emulated_endpoint_ends_at_any_millisecond():
   """A lease whose end was rounded down never ended."""
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   endpoint = made.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -85,7 +85,7 @@
 
 
 def test_holder_tells_nothing_before_it_is_settled():
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   owner = fleets.owner_of(made, "a")
   assert ping(made, owner).roster == 0
   made.clock.run_until(4.0)
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_of_a_killed_holder_begin_again_at_once(seed):
   """Tasks that are not found running used to wait 1.5 s for old leases."""
-  made = fleets.build_fleet(seed=seed)
+  made = fleets.fleet(seed=seed)
   made.clock.run_until(4.0)  # The first holders are settled.
   owner = fleets.owner_of(made, "a")
   others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -9,7 +9,7 @@
 
 
 def test_one_host_in_each_data_centre_owns_its_endpoints():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   fences = set()
   for zone in fleets.ZONES:
     (owner,) = fleets.owner_of(sim, zone).state.owners.values()
@@ -19,7 +19,7 @@
 
 
 def test_light_load_is_answered_completely_and_in_time():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   requests = fleets.submit_load(sim, list(sim.hosts.values()), 10, 60)
   sim.clock.run_until(15)
   assert sim.broken == []
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_from_a_live_owner_starts_no_task_twice(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 6, 40)
   owner = fleets.owner_of(sim, "a")
   # The owner is cut off from the store: its claim expires and another host
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_owner_is_replaced_and_its_runs_are_adopted(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
   requests = fleets.submit_load(sim, others, 6, 40)
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_is_fenced_off_when_it_wakes(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
   requests = fleets.submit_load(sim, others, 8, 40)
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_runs_of_a_killed_coordinator_are_stopped_before_a_resubmission(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   first = fleets.other_host(sim, owner)
   wanted = fleets.job("again", 4, 900)
@@ -94,7 +94,7 @@
 
 
 def test_late_orders_overload_no_endpoint_and_start_no_task_twice():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   fleets.submit_load(sim, list(sim.hosts.values()), 20, 70)
   for number, name in enumerate(sim.endpoints):
     endpoint = sim.endpoints[name]
@@ -106,7 +106,7 @@
 
 
 def test_draining_endpoint_gets_no_new_task():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 8, 30)
   sim.clock.at(3.0, lambda: sim.drain("e-a0"))
   sim.clock.run_until(4.2)
@@ -117,7 +117,7 @@
 
 
 def test_caller_that_disconnects_frees_its_resources():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   request = sim.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
   sim.clock.run_until(1.2)
   assert sum(len(e.running) for e in sim.endpoints.values()) == 4
@@ -127,7 +127,7 @@
 
 
 def test_unavailable_store_changes_nothing_for_callers():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   requests = fleets.submit_load(sim, list(sim.hosts.values()), 8, 50)
   sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
   sim.clock.run_until(14)
@@ -137,7 +137,7 @@
 
 
 def test_live_owner_that_loses_its_claim_gets_it_back():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 4, 30)
   sim.clock.at(2.0, lambda: sim.delete_claim(model.Shard("a")))
@@ -149,7 +149,7 @@
 
 
 def test_crashed_endpoints_task_runs_again_elsewhere():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   request = sim.submit("a0", fleets.job("j", 2, 200, 3000), [0.4] * 2, 3.5)
   sim.clock.run_until(1.1)
   victim = next(e for e in sim.endpoints.values() if e.running)
@@ -160,7 +160,7 @@
 
 
 def test_failing_endpoint_is_quarantined():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   sim.endpoints["e-a0"].failing = True
   # The load goes to all data centres. A single one would pass jobs on instead
   # of queueing them, and the endpoints compared below would stay idle.
@@ -173,7 +173,7 @@
 
 
 def test_stuck_run_is_stopped_and_run_elsewhere():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   sim.endpoints["e-a0"].hanging = True
   requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 6, 30)
   sim.clock.run_until(12)
@@ -185,7 +185,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_with_expired_entries_starts_no_task_twice(seed):
   """A new holder's first endpoint list may lack some that run its tasks."""
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   owner = fleets.owner_of(sim, "a")
   others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
   fleets.submit_load(sim, others, 6, 60)
@@ -198,7 +198,7 @@
 
 def test_all_hosts_serve_half_a_second_after_a_restart():
   """The claims in the store name processes that no longer exist."""
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   names = [(h.name, h.data_centre) for h in sim.hosts.values()]
   for name, _ in names:
     sim.kill(name)
@@ -216,7 +216,7 @@
 
 
 def test_lost_orders_quarantine_no_endpoint():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   for endpoint in sim.endpoints.values():
     endpoint.loss_rate = 0.1
   requests = fleets.submit_load(sim, list(sim.hosts.values()), 8, 50)
@@ -228,7 +228,7 @@
 
 def test_host_just_started_leaves_a_claim_to_its_live_holder():
   """The claim expires while the store is unavailable, the holder is alive."""
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   sim.clock.run_until(2.0)
   sim.delete_claim(model.Shard("a"))
@@ -240,7 +240,7 @@
 
 def test_decline_of_an_earlier_offer_does_not_reroute_a_job():
   """The job is offered again after a pause, then the first answer arrives."""
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   host = fleets.other_host(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
@@ -255,7 +255,7 @@
 
 
 def test_ending_process_answers_all_waiting_callers():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   request = sim.submit(
       "a0", fleets.job("long", 2, 3000), [3.0] * 2, deadline_s=9.0
   )
@@ -271,7 +271,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_planned_stops_in_turn_start_no_task_twice(seed):
-  sim = fleets.build_fleet(seed=seed)
+  sim = fleets.fleet(seed=seed)
   hosts = list(sim.hosts.values())
   requests = fleets.submit_load(sim, hosts, 8, 70)
   for number, zone in enumerate(fleets.ZONES * 2):
@@ -298,7 +298,7 @@
 
 def test_job_offered_to_a_replaced_holder_is_never_reported_as_not_run():
   """The holder accepts the job and is replaced before its answer arrives."""
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   host = fleets.other_host(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
@@ -322,7 +322,7 @@
 
 def test_job_with_an_unanswered_offer_is_never_reported_as_not_run():
   """The caller's deadline passes while the holder's answer is on its way."""
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   owner = fleets.owner_of(sim, "a")
   host = fleets.other_host(sim, owner)
   request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
@@ -336,7 +336,7 @@
 
 
 def test_job_starts_in_another_data_centre_rather_than_wait():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   fill = sim.submit("a0", fleets.job("fill", 18, 150), [0.15] * 18)
   sim.clock.run_until(1.05)
   request = sim.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
@@ -354,7 +354,7 @@
 
 
 def test_job_waits_in_the_data_centre_with_the_shortest_wait():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   for zone, run_ms in zip(fleets.ZONES, (200, 100, 200), strict=True):
     filling = fleets.job(f"fill-{zone}", 18, run_ms)
     sim.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
@@ -366,7 +366,7 @@
 
 
 def test_job_that_cannot_end_in_time_is_refused_immediately():
-  sim = fleets.build_fleet()
+  sim = fleets.fleet()
   wide = fleets.job("wide", 400, 1000)
   request = sim.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
   sim.clock.run_until(1.2)
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -39,7 +39,7 @@
 
 
 def test_run_on_an_endpoint_turned_slow_is_begun_anew_elsewhere():
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   slow = made.endpoints["e-a0"]
   slow.slowdown = 8.0
   requests = [
@@ -56,7 +56,7 @@
 
 def test_run_is_moved_once_at_most():
   """A job whose tasks take long everywhere is not begun again and again."""
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   request = made.submit("a0", fleets.job("j", 2, 200), [2.0] * 2, 5.0)
   made.clock.run_until(6.0)
   assert made.answers[request].answer.outcome is model.Outcome.DONE
@@ -66,7 +66,7 @@
 
 
 def test_job_that_ends_without_an_answer_says_what_was_missing():
-  made = fleets.build_fleet()
+  made = fleets.fleet()
   made.submit("a0", fleets.job("j", 2, 900), [0.9, 9.0], 2.0)
   made.clock.run_until(4.0)
   (line,) = [
