--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -19,78 +19,83 @@
   return model.Job(name, "s", "spec", steps, 3, 1.6, 60, "q", True)
 
 
-def all_done(sim, names) -> bool:
+def all_done(emulation, names) -> bool:
   return all(
-      sim.kept_store.states[name] is model.KeptJobState.DONE for name in names
+      emulation.kept_store.states[name] is model.KeptJobState.DONE
+      for name in names
   )
 
 
 def test_job_with_a_step_left_moves_with_its_progress():
-  sim = fleets.fleet()
-  request = sim.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
-  sim.clock.run_until(1.1)
-  assert test_kept_jobs.outcome(sim, request) is model.Outcome.KEPT
-  zones = {e.info.data_centre for e in sim.endpoints.values() if e.starts}
+  emulation = fleets.fleet()
+  request = emulation.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
+  emulation.clock.run_until(1.1)
+  assert test_kept_jobs.outcome(emulation, request) is model.Outcome.KEPT
+  zones = {e.info.data_centre for e in emulation.endpoints.values() if e.starts}
   assert zones == {"a"}
-  sim.evacuate("a")
-  sim.clock.run_until(5.0)
-  assert all_done(sim, ["j"])
-  assert test_evacuation.starts_in(sim, "a") == 2
-  elsewhere = sum(test_evacuation.starts_in(sim, z) for z in ("b", "c"))
+  emulation.evacuate("a")
+  emulation.clock.run_until(5.0)
+  assert all_done(emulation, ["j"])
+  assert test_evacuation.starts_in(emulation, "a") == 2
+  elsewhere = sum(test_evacuation.starts_in(emulation, z) for z in ("b", "c"))
   assert elsewhere == 3, "tasks that were done ran again"
-  assert sim.broken == []
+  assert emulation.broken == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_holder_that_crashes_during_moves_loses_no_job_and_runs_none_twice(
     seed,
 ):
-  sim = fleets.fleet(seed=seed)
-  sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.1
+  emulation = fleets.fleet(seed=seed)
+  emulation.store_reply_loss_rate, emulation.store_late_write_rate = 0.1, 0.1
   submitted = test_kept_jobs.load(
-      sim, test_kept_jobs.all_hosts(sim), 4.0, 20, "k"
+      emulation, test_kept_jobs.all_hosts(emulation), 4.0, 20, "k"
   )
-  sim.clock.at(2.5, lambda: sim.evacuate("a"))
-  moment = 2.5 + sim.rng.uniform(0.01, 0.4)
-  sim.clock.at(moment, lambda: sim.kill(fleets.owner_of(sim, "a").name))
-  sim.clock.run_until(3.5)
-  before = test_evacuation.starts_in(sim, "a")
-  sim.clock.run_until(30.0)
-  assert test_evacuation.starts_in(sim, "a") == before
-  test_kept_jobs.assert_guarantees_hold(sim, submitted)
-  assert sim.broken == []
+  emulation.clock.at(2.5, lambda: emulation.evacuate("a"))
+  moment = 2.5 + emulation.rng.uniform(0.01, 0.4)
+  emulation.clock.at(
+      moment, lambda: emulation.kill(fleets.owner_of(emulation, "a").name)
+  )
+  emulation.clock.run_until(3.5)
+  before = test_evacuation.starts_in(emulation, "a")
+  emulation.clock.run_until(30.0)
+  assert test_evacuation.starts_in(emulation, "a") == before
+  test_kept_jobs.assert_guarantees_hold(emulation, submitted)
+  assert emulation.broken == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_are_moved_back_and_forth_under_random_faults(seed):
   """Data centres are evacuated in turn and reinstated after a short time."""
-  sim = fleets.fleet(seed=seed)
+  emulation = fleets.fleet(seed=seed)
   submitted = test_kept_jobs.load(
-      sim, test_kept_jobs.all_hosts(sim), 10.0, 15, "k"
+      emulation, test_kept_jobs.all_hosts(emulation), 10.0, 15, "k"
   )
-  test_random_faults.Faults(sim, seed).plan()
+  test_random_faults.Faults(emulation, seed).plan()
   for number, zone in enumerate("abcabc"):
     begin = 1.5 + 1.7 * number
-    sim.clock.at(begin, lambda zone=zone: sim.evacuate(zone))
-    end = begin + sim.rng.uniform(0.1, 2.5)
-    sim.clock.at(end, lambda zone=zone: sim.evacuate(zone, wanted=False))
-  sim.clock.run_until(60.0)
-  test_kept_jobs.assert_guarantees_hold(sim, submitted)
-  assert sim.broken == []
+    emulation.clock.at(begin, lambda zone=zone: emulation.evacuate(zone))
+    end = begin + emulation.rng.uniform(0.1, 2.5)
+    emulation.clock.at(
+        end, lambda zone=zone: emulation.evacuate(zone, wanted=False)
+    )
+  emulation.clock.run_until(60.0)
+  test_kept_jobs.assert_guarantees_hold(emulation, submitted)
+  assert emulation.broken == []
 
 
 def test_job_stays_while_all_data_centres_are_evacuated_and_resumes_after():
-  sim = fleets.fleet()
-  sim.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
-  sim.clock.run_until(1.1)
+  emulation = fleets.fleet()
+  emulation.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
+  emulation.clock.run_until(1.1)
   for zone in fleets.ZONES:
-    sim.evacuate(zone)
-  sim.clock.run_until(4.0)
-  assert sim.kept_store.states["j"] is model.KeptJobState.OPEN
-  sim.evacuate("a", wanted=False)
-  sim.clock.run_until(8.0)
-  assert all_done(sim, ["j"])
-  assert sim.broken == []
+    emulation.evacuate(zone)
+  emulation.clock.run_until(4.0)
+  assert emulation.kept_store.states["j"] is model.KeptJobState.OPEN
+  emulation.evacuate("a", wanted=False)
+  emulation.clock.run_until(8.0)
+  assert all_done(emulation, ["j"])
+  assert emulation.broken == []
 
 
 def test_write_has_no_more_rows_than_the_store_allows():
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -21,326 +21,334 @@
   )
 
 
-def submit(sim: fleet_lib.Fleet, host: str, wanted: model.Job, run_s=None):
+def submit(
+    emulation: fleet_lib.Fleet, host: str, wanted: model.Job, run_s=None
+):
   tasks = sum(step.count for step in wanted.steps)
   seconds = run_s or wanted.steps[0].estimate_ms / 1000
-  return sim.submit(host, wanted, [seconds] * tasks, 3.0)
+  return emulation.submit(host, wanted, [seconds] * tasks, 3.0)
 
 
-def load(sim, hosts, seconds: float, per_s: float, prefix: str = "k"):
+def load(emulation, hosts, seconds: float, per_s: float, prefix: str = "k"):
   """Submits kept jobs to hosts that are up; returns the requests by job id."""
   submitted: dict[str, list[int]] = {}
-  start = sim.clock.now
+  start = emulation.clock.now
   for number in range(int(seconds * per_s)):
 
     def submit_one(name=f"{prefix}{number}"):
       up = [h for h in hosts() if h.up and not h.frozen]
-      run_ms = sim.rng.choice((100, 200, 600))
-      wanted = job(name, sim.rng.randint(1, 4), run_ms)
+      run_ms = emulation.rng.choice((100, 200, 600))
+      wanted = job(name, emulation.rng.randint(1, 4), run_ms)
       if up:
-        host = sim.rng.choice(up).name
-        submitted.setdefault(name, []).append(submit(sim, host, wanted))
+        host = emulation.rng.choice(up).name
+        submitted.setdefault(name, []).append(submit(emulation, host, wanted))
 
-    sim.clock.at(start + number / per_s, submit_one)
+    emulation.clock.at(start + number / per_s, submit_one)
   return submitted
 
 
-def hosts_of_zone(sim, zone: str):
-  return lambda: fleets.zone_hosts(sim, zone)
+def hosts_of_zone(emulation, zone: str):
+  return lambda: fleets.zone_hosts(emulation, zone)
 
 
-def all_hosts(sim):
-  return lambda: list(sim.hosts.values())
+def all_hosts(emulation):
+  return lambda: list(emulation.hosts.values())
 
 
-def outcome(sim, request) -> model.Outcome | None:
-  given = sim.answers.get(request)
+def outcome(emulation, request) -> model.Outcome | None:
+  given = emulation.answers.get(request)
   return given.answer.outcome if given else None
 
 
-def assert_guarantees_hold(sim, submitted):
+def assert_guarantees_hold(emulation, submitted):
   """Checks that accepted jobs are done, refused ones not run, none ran twice."""
-  assert sim.broken == []
+  assert emulation.broken == []
   started = {
-      run.task.job_id for e in sim.endpoints.values() for run in e.starts
+      run.task.job_id for e in emulation.endpoints.values() for run in e.starts
   }
   for name, requests in submitted.items():
-    found = [outcome(sim, request) for request in requests]
+    found = [outcome(emulation, request) for request in requests]
     if model.Outcome.KEPT in found:
-      assert sim.kept_store.states[name] is model.KeptJobState.DONE, name
+      assert emulation.kept_store.states[name] is model.KeptJobState.DONE, name
     elif set(found) == {model.Outcome.NOT_RUN}:
-      assert name not in started and name not in sim.kept_store.states
+      assert name not in started and name not in emulation.kept_store.states
 
 
-def accepted(sim, submitted) -> int:
+def accepted(emulation, submitted) -> int:
   return sum(
-      outcome(sim, request) is model.Outcome.KEPT
+      outcome(emulation, request) is model.Outcome.KEPT
       for requests in submitted.values()
       for request in requests
   )
 
 
 def test_job_is_stored_before_it_is_accepted_and_runs_without_its_caller():
-  sim = fleets.fleet()
-  request = submit(sim, "a0", job("k", 3, 200))
-  sim.clock.run_until(1.001)
-  assert outcome(sim, request) is None
-  sim.clock.run_until(1.05)
-  assert outcome(sim, request) is model.Outcome.KEPT
-  assert sim.answers[request].took_s < 0.03
-  assert sim.kept_store.states["k"] is model.KeptJobState.OPEN
-  sim.clock.run_until(1.4)
-  assert sim.kept_store.states["k"] is model.KeptJobState.DONE
-  assert not sim.kept_store.open[SHARD]
-  assert sim.broken == []
+  emulation = fleets.fleet()
+  request = submit(emulation, "a0", job("k", 3, 200))
+  emulation.clock.run_until(1.001)
+  assert outcome(emulation, request) is None
+  emulation.clock.run_until(1.05)
+  assert outcome(emulation, request) is model.Outcome.KEPT
+  assert emulation.answers[request].took_s < 0.03
+  assert emulation.kept_store.states["k"] is model.KeptJobState.OPEN
+  emulation.clock.run_until(1.4)
+  assert emulation.kept_store.states["k"] is model.KeptJobState.DONE
+  assert not emulation.kept_store.open[SHARD]
+  assert emulation.broken == []
 
 
 def test_results_are_acknowledged_once_they_are_stored():
-  sim = fleets.fleet()
-  submit(sim, "a0", job("k", 3, 200))
-  sim.clock.run_until(1.215)
-  assert not sim.acknowledged_done
-  sim.clock.run_until(1.6)
-  assert len(sim.acknowledged_done) == 3
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("k", 3, 200))
+  emulation.clock.run_until(1.215)
+  assert not emulation.acknowledged_done
+  emulation.clock.run_until(1.6)
+  assert len(emulation.acknowledged_done) == 3
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_next_owner_finishes_the_jobs_of_a_killed_one(seed):
-  sim = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(sim, "a")
-  submitted = load(sim, hosts_of_zone(sim, "a"), 4, 25)
-  sim.clock.at(2.5, lambda: sim.kill(owner.name))
-  sim.clock.run_until(14)
-  assert_guarantees_hold(sim, submitted)
-  assert accepted(sim, submitted) > 0.85 * len(submitted)
+  emulation = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(emulation, "a")
+  submitted = load(emulation, hosts_of_zone(emulation, "a"), 4, 25)
+  emulation.clock.at(2.5, lambda: emulation.kill(owner.name))
+  emulation.clock.run_until(14)
+  assert_guarantees_hold(emulation, submitted)
+  assert accepted(emulation, submitted) > 0.85 * len(submitted)
 
 
 @pytest.mark.parametrize("load_s", (0.02, 0.1, 0.4))
 def test_run_that_ends_while_the_records_are_read_is_not_run_again(load_s):
-  sim = fleets.fleet()
-  sim.kept_load_delay_s = load_s
-  submitted = load(sim, hosts_of_zone(sim, "a"), 2, 25)
-  owner = fleets.owner_of(sim, "a")
-  sim.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
-  sim.clock.run_until(10)
-  assert_guarantees_hold(sim, submitted)
-  assert accepted(sim, submitted) > 0.85 * len(submitted)
+  emulation = fleets.fleet()
+  emulation.kept_load_delay_s = load_s
+  submitted = load(emulation, hosts_of_zone(emulation, "a"), 2, 25)
+  owner = fleets.owner_of(emulation, "a")
+  emulation.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
+  emulation.clock.run_until(10)
+  assert_guarantees_hold(emulation, submitted)
+  assert accepted(emulation, submitted) > 0.85 * len(submitted)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_best_effort_jobs_end_while_the_records_are_read(seed):
   """Their results must not be stored, whenever the jobs are offered again."""
-  sim = fleets.fleet(seed=seed)
-  sim.kept_load_delay_s = 0.3
-  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 3, 30)
-  submitted = load(sim, hosts_of_zone(sim, "a"), 3, 10)
-  owner = fleets.owner_of(sim, "a")
-  sim.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
-  sim.clock.run_until(10)
-  assert_guarantees_hold(sim, submitted)
-  found = fleets.count_outcomes(sim, requests)
+  emulation = fleets.fleet(seed=seed)
+  emulation.kept_load_delay_s = 0.3
+  requests = fleets.submit_load(
+      emulation, fleets.zone_hosts(emulation, "a"), 3, 30
+  )
+  submitted = load(emulation, hosts_of_zone(emulation, "a"), 3, 10)
+  owner = fleets.owner_of(emulation, "a")
+  emulation.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
+  emulation.clock.run_until(10)
+  assert_guarantees_hold(emulation, submitted)
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_hosts_lose_power_and_every_accepted_job_is_done(seed):
-  sim = fleets.fleet(seed=seed)
-  submitted = load(sim, all_hosts(sim), 3, 40)
+  emulation = fleets.fleet(seed=seed)
+  submitted = load(emulation, all_hosts(emulation), 3, 40)
 
   def restart():
-    for host in list(sim.hosts.values()):
-      sim.add_host(host.name, host.data_centre)
+    for host in list(emulation.hosts.values()):
+      emulation.add_host(host.name, host.data_centre)
 
   def power_off():
-    for host in sim.hosts.values():
-      sim.kill(host.name)
+    for host in emulation.hosts.values():
+      emulation.kill(host.name)
 
-  sim.clock.at(2.5, power_off)
-  sim.clock.at(3.2, restart)
-  sim.clock.run_until(16)
-  assert_guarantees_hold(sim, submitted)
-  assert accepted(sim, submitted) > 0.4 * len(submitted)
+  emulation.clock.at(2.5, power_off)
+  emulation.clock.at(3.2, restart)
+  emulation.clock.run_until(16)
+  assert_guarantees_hold(emulation, submitted)
+  assert accepted(emulation, submitted) > 0.4 * len(submitted)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_that_wakes_writes_nothing_more(seed):
-  sim = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(sim, "a")
-  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  submitted = load(sim, lambda: others, 4, 20)
-  sim.clock.at(2.0, lambda: setattr(owner, "frozen", True))
-  sim.clock.at(4.5, owner.thaw)
-  sim.clock.run_until(16)
-  assert fleets.owner_of(sim, "a") is not owner
-  assert_guarantees_hold(sim, submitted)
+  emulation = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(emulation, "a")
+  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  submitted = load(emulation, lambda: others, 4, 20)
+  emulation.clock.at(2.0, lambda: setattr(owner, "frozen", True))
+  emulation.clock.at(4.5, owner.thaw)
+  emulation.clock.run_until(16)
+  assert fleets.owner_of(emulation, "a") is not owner
+  assert_guarantees_hold(emulation, submitted)
 
 
 def test_unavailable_store_refuses_new_jobs_and_finishes_accepted_ones():
-  sim = fleets.fleet()
-  submitted = load(sim, all_hosts(sim), 7, 30)
-  sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
-  sim.clock.at(6.0, lambda: setattr(sim, "store_up", True))
-  sim.clock.run_until(20)
-  assert_guarantees_hold(sim, submitted)
+  emulation = fleets.fleet()
+  submitted = load(emulation, all_hosts(emulation), 7, 30)
+  emulation.clock.at(2.0, lambda: setattr(emulation, "store_up", False))
+  emulation.clock.at(6.0, lambda: setattr(emulation, "store_up", True))
+  emulation.clock.run_until(20)
+  assert_guarantees_hold(emulation, submitted)
   late = [r for name, (r,) in submitted.items() if 100 < int(name[1:]) < 140]
-  assert all(outcome(sim, r) is model.Outcome.NOT_RUN for r in late)
-  assert all(sim.answers[r].took_s < 0.2 for r in late)
-  assert all(sim.answers[r].answer.retry_after_s > 0 for r in late)
+  assert all(outcome(emulation, r) is model.Outcome.NOT_RUN for r in late)
+  assert all(emulation.answers[r].took_s < 0.2 for r in late)
+  assert all(emulation.answers[r].answer.retry_after_s > 0 for r in late)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_lost_and_late_writes_lose_no_job_and_repeat_no_task(seed):
-  sim = fleets.fleet(seed=seed)
-  sim.store_reply_loss_rate, sim.store_late_write_rate = 0.1, 0.05
-  submitted = load(sim, all_hosts(sim), 6, 30)
-  owner = fleets.owner_of(sim, "b")
-  sim.clock.at(4.0, lambda: sim.kill(owner.name))
-  sim.clock.run_until(12)
-  sim.store_reply_loss_rate = sim.store_late_write_rate = 0.0
-  sim.clock.run_until(24)
-  assert_guarantees_hold(sim, submitted)
-  assert accepted(sim, submitted) > 0.3 * len(submitted)
+  emulation = fleets.fleet(seed=seed)
+  emulation.store_reply_loss_rate, emulation.store_late_write_rate = 0.1, 0.05
+  submitted = load(emulation, all_hosts(emulation), 6, 30)
+  owner = fleets.owner_of(emulation, "b")
+  emulation.clock.at(4.0, lambda: emulation.kill(owner.name))
+  emulation.clock.run_until(12)
+  emulation.store_reply_loss_rate = emulation.store_late_write_rate = 0.0
+  emulation.clock.run_until(24)
+  assert_guarantees_hold(emulation, submitted)
+  assert accepted(emulation, submitted) > 0.3 * len(submitted)
 
 
 def test_live_owner_that_loses_its_claim_loses_no_job():
-  sim = fleets.fleet()
-  submitted = load(sim, hosts_of_zone(sim, "a"), 4, 20)
-  sim.clock.at(2.0, lambda: sim.delete_claim(SHARD))
-  sim.clock.run_until(14)
-  assert_guarantees_hold(sim, submitted)
+  emulation = fleets.fleet()
+  submitted = load(emulation, hosts_of_zone(emulation, "a"), 4, 20)
+  emulation.clock.at(2.0, lambda: emulation.delete_claim(SHARD))
+  emulation.clock.run_until(14)
+  assert_guarantees_hold(emulation, submitted)
 
 
 def test_job_submitted_at_two_data_centres_runs_once():
-  sim = fleets.fleet()
+  emulation = fleets.fleet()
   wanted = job("k", 4, 200)
-  first = submit(sim, "a0", wanted)
-  second = submit(sim, "b0", wanted)
-  sim.clock.run_until(3)
-  assert outcome(sim, first) is outcome(sim, second) is model.Outcome.KEPT
-  assert sum(len(e.starts) for e in sim.endpoints.values()) == 4
-  assert sim.broken == []
+  first = submit(emulation, "a0", wanted)
+  second = submit(emulation, "b0", wanted)
+  emulation.clock.run_until(3)
+  assert (
+      outcome(emulation, first)
+      is outcome(emulation, second)
+      is model.Outcome.KEPT
+  )
+  assert sum(len(e.starts) for e in emulation.endpoints.values()) == 4
+  assert emulation.broken == []
 
 
 @pytest.mark.parametrize("host", ("a0", "a1", "c2"))
 def test_job_resubmitted_after_its_end_is_accepted_and_starts_nothing(host):
-  sim = fleets.fleet()
+  emulation = fleets.fleet()
   wanted = job("k", 2, 100)
-  submit(sim, "a0", wanted)
-  sim.clock.run_until(3)
-  again = submit(sim, host, wanted)
-  sim.clock.run_until(5)
-  assert outcome(sim, again) is model.Outcome.KEPT
-  assert sum(len(e.starts) for e in sim.endpoints.values()) == 2
-  assert sim.kept_store.states["k"] is model.KeptJobState.DONE
+  submit(emulation, "a0", wanted)
+  emulation.clock.run_until(3)
+  again = submit(emulation, host, wanted)
+  emulation.clock.run_until(5)
+  assert outcome(emulation, again) is model.Outcome.KEPT
+  assert sum(len(e.starts) for e in emulation.endpoints.values()) == 2
+  assert emulation.kept_store.states["k"] is model.KeptJobState.DONE
 
 
 def test_cancelled_job_is_stopped_and_not_restarted():
-  sim = fleets.fleet()
-  submit(sim, "a0", job("k", 4, 900))
-  sim.clock.run_until(1.3)
-  request = sim.query_kept_job("b1", "k", "a", cancel=True)
-  sim.clock.run_until(1.5)
-  assert outcome(sim, request) is model.Outcome.CANCELLED
-  assert sim.kept_store.states["k"] is model.KeptJobState.CANCELLED
-  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
-  sim.kill(fleets.owner_of(sim, "a").name)
-  sim.clock.run_until(6)
-  assert sum(len(e.starts) for e in sim.endpoints.values()) == 4
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("k", 4, 900))
+  emulation.clock.run_until(1.3)
+  request = emulation.query_kept_job("b1", "k", "a", cancel=True)
+  emulation.clock.run_until(1.5)
+  assert outcome(emulation, request) is model.Outcome.CANCELLED
+  assert emulation.kept_store.states["k"] is model.KeptJobState.CANCELLED
+  assert sum(len(e.running) for e in emulation.endpoints.values()) == 0
+  emulation.kill(fleets.owner_of(emulation, "a").name)
+  emulation.clock.run_until(6)
+  assert sum(len(e.starts) for e in emulation.endpoints.values()) == 4
 
 
 def test_cancel_of_a_finished_or_unknown_job_reports_that():
-  sim = fleets.fleet()
-  submit(sim, "a0", job("k", 1, 100))
-  sim.clock.run_until(2)
-  finished = sim.query_kept_job("a1", "k", "a", cancel=True)
-  unknown = sim.query_kept_job("a1", "nothing", "a", cancel=True)
-  sim.clock.run_until(3)
-  assert outcome(sim, finished) is model.Outcome.DONE
-  assert outcome(sim, unknown) is model.Outcome.UNKNOWN
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("k", 1, 100))
+  emulation.clock.run_until(2)
+  finished = emulation.query_kept_job("a1", "k", "a", cancel=True)
+  unknown = emulation.query_kept_job("a1", "nothing", "a", cancel=True)
+  emulation.clock.run_until(3)
+  assert outcome(emulation, finished) is model.Outcome.DONE
+  assert outcome(emulation, unknown) is model.Outcome.UNKNOWN
 
 
 def test_state_of_a_finished_job_is_reported_once_it_is_stored():
-  sim = fleets.fleet()
-  submit(sim, "a0", job("k", 2, 200))
-  sim.clock.run_until(1.1)
-  open_still = sim.query_kept_job("b0", "k", "a", cancel=False)
-  sim.clock.run_until(1.11)
-  assert outcome(sim, open_still) is model.Outcome.KEPT
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("k", 2, 200))
+  emulation.clock.run_until(1.1)
+  open_still = emulation.query_kept_job("b0", "k", "a", cancel=False)
+  emulation.clock.run_until(1.11)
+  assert outcome(emulation, open_still) is model.Outcome.KEPT
   # The tasks end at 1.207 s, are listed within 1 ms, stored after 4 more.
-  sim.clock.run_until(1.2085)
-  assert sim.kept_store.states["k"] is model.KeptJobState.OPEN
-  just_finished = sim.query_kept_job("b0", "k", "a", cancel=False)
-  sim.clock.run_until(1.3)
-  assert outcome(sim, just_finished) is model.Outcome.DONE
-  assert sim.answers[just_finished].took_s < 0.03
+  emulation.clock.run_until(1.2085)
+  assert emulation.kept_store.states["k"] is model.KeptJobState.OPEN
+  just_finished = emulation.query_kept_job("b0", "k", "a", cancel=False)
+  emulation.clock.run_until(1.3)
+  assert outcome(emulation, just_finished) is model.Outcome.DONE
+  assert emulation.answers[just_finished].took_s < 0.03
 
 
 def test_cancel_survives_a_crash_of_the_holder():
-  sim = fleets.fleet()
-  owner = fleets.owner_of(sim, "a")
-  host = fleets.other_host(sim, owner)
-  submit(sim, host.name, job("k", 4, 900))
-  sim.clock.run_until(1.3)
-  request = sim.query_kept_job(host.name, "k", "a", cancel=True)
-  sim.kill(owner.name)
-  sim.clock.run_until(4)
-  assert outcome(sim, request) is model.Outcome.CANCELLED
-  assert sim.kept_store.states["k"] is model.KeptJobState.CANCELLED
-  assert sim.broken == []
+  emulation = fleets.fleet()
+  owner = fleets.owner_of(emulation, "a")
+  host = fleets.other_host(emulation, owner)
+  submit(emulation, host.name, job("k", 4, 900))
+  emulation.clock.run_until(1.3)
+  request = emulation.query_kept_job(host.name, "k", "a", cancel=True)
+  emulation.kill(owner.name)
+  emulation.clock.run_until(4)
+  assert outcome(emulation, request) is model.Outcome.CANCELLED
+  assert emulation.kept_store.states["k"] is model.KeptJobState.CANCELLED
+  assert emulation.broken == []
 
 
 @pytest.mark.parametrize("killed", (False, True))
 def test_task_that_always_fails_is_attempted_as_often_as_allowed(killed):
-  sim = fleets.fleet()
-  submit(sim, "a0", job("k", 1, 100, attempts=3))
-  sim.task_profiles[model.Task("k", 0, 0)].fails = True
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("k", 1, 100, attempts=3))
+  emulation.task_profiles[model.Task("k", 0, 0)].fails = True
   if killed:
-    sim.clock.run_until(1.13)
-    sim.kill(fleets.owner_of(sim, "a").name)
-  sim.clock.run_until(8)
-  assert sim.kept_store.states["k"] is model.KeptJobState.FAILED
-  assert sum(len(e.starts) for e in sim.endpoints.values()) == 3
+    emulation.clock.run_until(1.13)
+    emulation.kill(fleets.owner_of(emulation, "a").name)
+  emulation.clock.run_until(8)
+  assert emulation.kept_store.states["k"] is model.KeptJobState.FAILED
+  assert sum(len(e.starts) for e in emulation.endpoints.values()) == 3
 
 
 def test_steps_run_in_order_across_a_change_of_holder():
-  sim = fleets.fleet()
+  emulation = fleets.fleet()
   steps = (
       model.Step(2, fleets.NEED, 200),
       model.Step(2, fleets.NEED, 200, (0,)),
   )
   wanted = dataclasses.replace(job("k", 1, 200), steps=steps)
-  sim.submit("a0", wanted, [0.2] * 4, 3.0)
-  sim.clock.run_until(1.25)
-  sim.kill(fleets.owner_of(sim, "a").name)
-  sim.clock.run_until(8)
-  assert sim.kept_store.states["k"] is model.KeptJobState.DONE
-  assert sum(len(e.starts) for e in sim.endpoints.values()) == 4
-  assert sim.broken == []
+  emulation.submit("a0", wanted, [0.2] * 4, 3.0)
+  emulation.clock.run_until(1.25)
+  emulation.kill(fleets.owner_of(emulation, "a").name)
+  emulation.clock.run_until(8)
+  assert emulation.kept_store.states["k"] is model.KeptJobState.DONE
+  assert sum(len(e.starts) for e in emulation.endpoints.values()) == 4
+  assert emulation.broken == []
 
 
 def test_finished_jobs_are_deleted_also_by_another_holder():
-  sim = fleets.fleet()
-  submit(sim, "a0", job("early", 1, 100))
-  sim.clock.run_until(3)
-  sim.kill(fleets.owner_of(sim, "a").name)
-  sim.clock.run_until(5)
-  host = fleets.owner_of(sim, "a")
-  submit(sim, host.name, job("late", 1, 100))
-  sim.clock.run_until(hosts_lib.ENDED_JOB_TTL_S)
-  assert set(sim.kept_store.states) == {"early", "late"}
-  sim.clock.run_until(hosts_lib.ENDED_JOB_TTL_S + 45)
-  assert not sim.kept_store.states
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("early", 1, 100))
+  emulation.clock.run_until(3)
+  emulation.kill(fleets.owner_of(emulation, "a").name)
+  emulation.clock.run_until(5)
+  host = fleets.owner_of(emulation, "a")
+  submit(emulation, host.name, job("late", 1, 100))
+  emulation.clock.run_until(hosts_lib.ENDED_JOB_TTL_S)
+  assert set(emulation.kept_store.states) == {"early", "late"}
+  emulation.clock.run_until(hosts_lib.ENDED_JOB_TTL_S + 45)
+  assert not emulation.kept_store.states
 
 
 def test_waiting_jobs_are_counted_at_every_host():
-  sim = fleets.fleet()
-  submit(sim, "a0", job("fill", 18, 3000))
-  sim.clock.run_until(1.2)
+  emulation = fleets.fleet()
+  submit(emulation, "a0", job("fill", 18, 3000))
+  emulation.clock.run_until(1.2)
   for number in range(3):
     wanted = job(f"k{number}", 2, 5000)
-    sim.hosts["a0"].state.coordinator.holders.pop(model.Shard("b"), None)
-    sim.hosts["a0"].state.coordinator.holders.pop(model.Shard("c"), None)
-    submit(sim, "a0", wanted)
-  sim.clock.run_until(3.0)
-  for host in sim.hosts.values():
+    emulation.hosts["a0"].state.coordinator.holders.pop(model.Shard("b"), None)
+    emulation.hosts["a0"].state.coordinator.holders.pop(model.Shard("c"), None)
+    submit(emulation, "a0", wanted)
+  emulation.clock.run_until(3.0)
+  for host in emulation.hosts.values():
     assert coordinator.pending(host.state.coordinator, "q") == 3
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -9,241 +9,263 @@
 
 
 def test_one_host_in_each_data_centre_owns_its_endpoints():
-  sim = fleets.fleet()
+  emulation = fleets.fleet()
   fences = set()
   for zone in fleets.ZONES:
-    (owner,) = fleets.owner_of(sim, zone).state.owners.values()
+    (owner,) = fleets.owner_of(emulation, zone).state.owners.values()
     assert set(owner.endpoints) == {f"e-{zone}{n}" for n in range(8)}
     fences.add(owner.fence)
   assert len(fences) == 3
 
 
 def test_light_load_is_answered_completely_and_in_time():
-  sim = fleets.fleet()
-  requests = fleets.submit_load(sim, list(sim.hosts.values()), 10, 60)
-  sim.clock.run_until(15)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  emulation = fleets.fleet()
+  requests = fleets.submit_load(
+      emulation, list(emulation.hosts.values()), 10, 60
+  )
+  emulation.clock.run_until(15)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
   for request in requests:
-    answer = sim.answers[request].answer
+    answer = emulation.answers[request].answer
     assert answer.retry_after_s or answer.outcome is not model.Outcome.NOT_RUN
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_from_a_live_owner_starts_no_task_twice(seed):
-  sim = fleets.fleet(seed=seed)
-  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 6, 40)
-  owner = fleets.owner_of(sim, "a")
+  emulation = fleets.fleet(seed=seed)
+  requests = fleets.submit_load(
+      emulation, fleets.zone_hosts(emulation, "a"), 6, 40
+  )
+  owner = fleets.owner_of(emulation, "a")
   # The owner is cut off from the store: its claim expires and another host
   # takes the shard.
-  sim.clock.at(2.0, lambda: owner.partitioned_from.add("store"))
-  sim.clock.run_until(12)
-  assert fleets.owner_of(sim, "a") is not owner
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  emulation.clock.at(2.0, lambda: owner.partitioned_from.add("store"))
+  emulation.clock.run_until(12)
+  assert fleets.owner_of(emulation, "a") is not owner
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_owner_is_replaced_and_its_runs_are_adopted(seed):
-  sim = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(sim, "a")
-  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  requests = fleets.submit_load(sim, others, 6, 40)
-  sim.clock.at(3.0, lambda: sim.kill(owner.name))
-  sim.clock.run_until(12)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  emulation = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(emulation, "a")
+  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  requests = fleets.submit_load(emulation, others, 6, 40)
+  emulation.clock.at(3.0, lambda: emulation.kill(owner.name))
+  emulation.clock.run_until(12)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
-  (new_owner,) = fleets.owner_of(sim, "a").state.owners.values()
+  (new_owner,) = fleets.owner_of(emulation, "a").state.owners.values()
   assert new_owner.counters["adopted"] > 0
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_frozen_owner_is_fenced_off_when_it_wakes(seed):
-  sim = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(sim, "a")
-  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  requests = fleets.submit_load(sim, others, 8, 40)
-  sim.clock.at(3.0, lambda: setattr(owner, "frozen", True))
-  sim.clock.at(6.0, owner.thaw)
-  sim.clock.run_until(14)
-  assert fleets.owner_of(sim, "a") is not owner
-  assert sim.broken == []
-  assert len(fleets.count_outcomes(sim, requests)) >= 1
-  assert len(sim.answers) == len(requests)
+  emulation = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(emulation, "a")
+  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  requests = fleets.submit_load(emulation, others, 8, 40)
+  emulation.clock.at(3.0, lambda: setattr(owner, "frozen", True))
+  emulation.clock.at(6.0, owner.thaw)
+  emulation.clock.run_until(14)
+  assert fleets.owner_of(emulation, "a") is not owner
+  assert emulation.broken == []
+  assert len(fleets.count_outcomes(emulation, requests)) >= 1
+  assert len(emulation.answers) == len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_runs_of_a_killed_coordinator_are_stopped_before_a_resubmission(seed):
-  sim = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(sim, "a")
-  first = fleets.other_host(sim, owner)
+  emulation = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(emulation, "a")
+  first = fleets.other_host(emulation, owner)
   wanted = fleets.job("again", 4, 900)
-  sim.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
-  sim.clock.run_until(1.1)
-  sim.kill(first.name)
-  assert sum(len(e.running) for e in sim.endpoints.values()) == 4
-  sim.clock.run_until(1.1 + 1.3)
-  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
-  second = sim.submit(owner.name, wanted, [1.0] * 4, deadline_s=3.0)
-  sim.clock.run_until(6)
-  assert sim.answers[second].answer.outcome is model.Outcome.DONE
-  assert sim.broken == []
+  emulation.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
+  emulation.clock.run_until(1.1)
+  emulation.kill(first.name)
+  assert sum(len(e.running) for e in emulation.endpoints.values()) == 4
+  emulation.clock.run_until(1.1 + 1.3)
+  assert sum(len(e.running) for e in emulation.endpoints.values()) == 0
+  second = emulation.submit(owner.name, wanted, [1.0] * 4, deadline_s=3.0)
+  emulation.clock.run_until(6)
+  assert emulation.answers[second].answer.outcome is model.Outcome.DONE
+  assert emulation.broken == []
 
 
 def test_late_orders_overload_no_endpoint_and_start_no_task_twice():
-  sim = fleets.fleet()
-  fleets.submit_load(sim, list(sim.hosts.values()), 20, 70)
-  for number, name in enumerate(sim.endpoints):
-    endpoint = sim.endpoints[name]
+  emulation = fleets.fleet()
+  fleets.submit_load(emulation, list(emulation.hosts.values()), 20, 70)
+  for number, name in enumerate(emulation.endpoints):
+    endpoint = emulation.endpoints[name]
     begin = 2.0 + number * 0.6
-    sim.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
-    sim.clock.at(begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0))
-  sim.clock.run_until(30)
-  assert sim.broken == []
+    emulation.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
+    emulation.clock.at(
+        begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0)
+    )
+  emulation.clock.run_until(30)
+  assert emulation.broken == []
 
 
 def test_draining_endpoint_gets_no_new_task():
-  sim = fleets.fleet()
-  fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 8, 30)
-  sim.clock.at(3.0, lambda: sim.drain("e-a0"))
-  sim.clock.run_until(4.2)
-  before = len(sim.endpoints["e-a0"].starts)
-  sim.clock.run_until(10)
+  emulation = fleets.fleet()
+  fleets.submit_load(emulation, fleets.zone_hosts(emulation, "a"), 8, 30)
+  emulation.clock.at(3.0, lambda: emulation.drain("e-a0"))
+  emulation.clock.run_until(4.2)
+  before = len(emulation.endpoints["e-a0"].starts)
+  emulation.clock.run_until(10)
   assert before > 0
-  assert len(sim.endpoints["e-a0"].starts) == before
+  assert len(emulation.endpoints["e-a0"].starts) == before
 
 
 def test_caller_that_disconnects_frees_its_resources():
-  sim = fleets.fleet()
-  request = sim.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
-  sim.clock.run_until(1.2)
-  assert sum(len(e.running) for e in sim.endpoints.values()) == 4
-  sim.disconnect_caller("a0", request)
-  sim.clock.run_until(1.3)
-  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
+  emulation = fleets.fleet()
+  request = emulation.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
+  emulation.clock.run_until(1.2)
+  assert sum(len(e.running) for e in emulation.endpoints.values()) == 4
+  emulation.disconnect_caller("a0", request)
+  emulation.clock.run_until(1.3)
+  assert sum(len(e.running) for e in emulation.endpoints.values()) == 0
 
 
 def test_unavailable_store_changes_nothing_for_callers():
-  sim = fleets.fleet()
-  requests = fleets.submit_load(sim, list(sim.hosts.values()), 8, 50)
-  sim.clock.at(2.0, lambda: setattr(sim, "store_up", False))
-  sim.clock.run_until(14)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  emulation = fleets.fleet()
+  requests = fleets.submit_load(
+      emulation, list(emulation.hosts.values()), 8, 50
+  )
+  emulation.clock.at(2.0, lambda: setattr(emulation, "store_up", False))
+  emulation.clock.run_until(14)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_live_owner_that_loses_its_claim_gets_it_back():
-  sim = fleets.fleet()
-  owner = fleets.owner_of(sim, "a")
-  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 4, 30)
-  sim.clock.at(2.0, lambda: sim.delete_claim(model.Shard("a")))
-  sim.clock.run_until(8)
-  assert fleets.owner_of(sim, "a") is owner
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  emulation = fleets.fleet()
+  owner = fleets.owner_of(emulation, "a")
+  requests = fleets.submit_load(
+      emulation, fleets.zone_hosts(emulation, "a"), 4, 30
+  )
+  emulation.clock.at(2.0, lambda: emulation.delete_claim(model.Shard("a")))
+  emulation.clock.run_until(8)
+  assert fleets.owner_of(emulation, "a") is owner
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_crashed_endpoints_task_runs_again_elsewhere():
-  sim = fleets.fleet()
-  request = sim.submit("a0", fleets.job("j", 2, 200, 3000), [0.4] * 2, 3.5)
-  sim.clock.run_until(1.1)
-  victim = next(e for e in sim.endpoints.values() if e.running)
+  emulation = fleets.fleet()
+  request = emulation.submit(
+      "a0", fleets.job("j", 2, 200, 3000), [0.4] * 2, 3.5
+  )
+  emulation.clock.run_until(1.1)
+  victim = next(e for e in emulation.endpoints.values() if e.running)
   victim.crash()
-  sim.clock.run_until(6)
-  assert sim.answers[request].answer.outcome is model.Outcome.DONE
-  assert sim.broken == []
+  emulation.clock.run_until(6)
+  assert emulation.answers[request].answer.outcome is model.Outcome.DONE
+  assert emulation.broken == []
 
 
 def test_failing_endpoint_is_quarantined():
-  sim = fleets.fleet()
-  sim.endpoints["e-a0"].failing = True
+  emulation = fleets.fleet()
+  emulation.endpoints["e-a0"].failing = True
   # The load goes to all data centres. A single one would pass jobs on instead
   # of queueing them, and the endpoints compared below would stay idle.
-  requests = fleets.submit_load(sim, list(sim.hosts.values()), 6, 60)
-  sim.clock.run_until(12)
-  found = fleets.count_outcomes(sim, requests)
+  requests = fleets.submit_load(
+      emulation, list(emulation.hosts.values()), 6, 60
+  )
+  emulation.clock.run_until(12)
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
-  starts = {n: len(e.starts) for n, e in sim.endpoints.items()}
+  starts = {n: len(e.starts) for n, e in emulation.endpoints.items()}
   assert starts["e-a0"] < 0.3 * starts["e-a1"]
 
 
 def test_stuck_run_is_stopped_and_run_elsewhere():
-  sim = fleets.fleet()
-  sim.endpoints["e-a0"].hanging = True
-  requests = fleets.submit_load(sim, fleets.zone_hosts(sim, "a"), 6, 30)
-  sim.clock.run_until(12)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  emulation = fleets.fleet()
+  emulation.endpoints["e-a0"].hanging = True
+  requests = fleets.submit_load(
+      emulation, fleets.zone_hosts(emulation, "a"), 6, 30
+  )
+  emulation.clock.run_until(12)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_with_expired_entries_starts_no_task_twice(seed):
   """A new holder's first endpoint list may lack some that run its tasks."""
-  sim = fleets.fleet(seed=seed)
-  owner = fleets.owner_of(sim, "a")
-  others = [h for h in fleets.zone_hosts(sim, "a") if h is not owner]
-  fleets.submit_load(sim, others, 6, 60)
-  sim.clock.at(2.9, lambda: sim.unlisted.update(("e-a0", "e-a1", "e-a2")))
-  sim.clock.at(3.0, lambda: sim.kill(owner.name))
-  sim.clock.at(4.5, sim.unlisted.clear)
-  sim.clock.run_until(12)
-  assert sim.broken == []
+  emulation = fleets.fleet(seed=seed)
+  owner = fleets.owner_of(emulation, "a")
+  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  fleets.submit_load(emulation, others, 6, 60)
+  emulation.clock.at(
+      2.9, lambda: emulation.unlisted.update(("e-a0", "e-a1", "e-a2"))
+  )
+  emulation.clock.at(3.0, lambda: emulation.kill(owner.name))
+  emulation.clock.at(4.5, emulation.unlisted.clear)
+  emulation.clock.run_until(12)
+  assert emulation.broken == []
 
 
 def test_all_hosts_serve_half_a_second_after_a_restart():
   """The claims in the store name processes that no longer exist."""
-  sim = fleets.fleet()
-  names = [(h.name, h.data_centre) for h in sim.hosts.values()]
+  emulation = fleets.fleet()
+  names = [(h.name, h.data_centre) for h in emulation.hosts.values()]
   for name, _ in names:
-    sim.kill(name)
-  sim.clock.run_until(1.2)
+    emulation.kill(name)
+  emulation.clock.run_until(1.2)
   for name, zone in names:
-    sim.add_host(name, zone)
-  requests = fleets.submit_load(sim, list(sim.hosts.values()), 1.0, 60)
-  sim.clock.run_until(1.6)
-  assert all(fleets.owner_of(sim, zone) for zone in fleets.ZONES)
-  sim.clock.run_until(6)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+    emulation.add_host(name, zone)
+  requests = fleets.submit_load(
+      emulation, list(emulation.hosts.values()), 1.0, 60
+  )
+  emulation.clock.run_until(1.6)
+  assert all(fleets.owner_of(emulation, zone) for zone in fleets.ZONES)
+  emulation.clock.run_until(6)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
   assert model.Outcome.UNKNOWN not in found
 
 
 def test_lost_orders_quarantine_no_endpoint():
-  sim = fleets.fleet()
-  for endpoint in sim.endpoints.values():
+  emulation = fleets.fleet()
+  for endpoint in emulation.endpoints.values():
     endpoint.loss_rate = 0.1
-  requests = fleets.submit_load(sim, list(sim.hosts.values()), 8, 50)
-  sim.clock.run_until(14)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+  requests = fleets.submit_load(
+      emulation, list(emulation.hosts.values()), 8, 50
+  )
+  emulation.clock.run_until(14)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 def test_host_just_started_leaves_a_claim_to_its_live_holder():
   """The claim expires while the store is unavailable, the holder is alive."""
-  sim = fleets.fleet()
-  owner = fleets.owner_of(sim, "a")
-  sim.clock.run_until(2.0)
-  sim.delete_claim(model.Shard("a"))
+  emulation = fleets.fleet()
+  owner = fleets.owner_of(emulation, "a")
+  emulation.clock.run_until(2.0)
+  emulation.delete_claim(model.Shard("a"))
   # A host starts before the holder learns that its claim has ended.
-  sim.add_host("a9", "a")
-  sim.clock.run_until(6)
-  assert fleets.owner_of(sim, "a") is owner
+  emulation.add_host("a9", "a")
+  emulation.clock.run_until(6)
+  assert fleets.owner_of(emulation, "a") is owner
 
 
 def test_decline_of_an_earlier_offer_does_not_reroute_a_job():
   """The job is offered again after a pause, then the first answer arrives."""
-  sim = fleets.fleet()
-  owner = fleets.owner_of(sim, "a")
-  host = fleets.other_host(sim, owner)
-  request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
+  emulation = fleets.fleet()
+  owner = fleets.owner_of(emulation, "a")
+  host = fleets.other_host(emulation, owner)
+  request = emulation.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
   record.offer_count += 1  # As if it had been offered again meanwhile.
   late = linkmessages.Declined(record.key, 1, 100)
@@ -251,63 +273,63 @@
       events.HolderMessageReceived(model.Shard("a"), owner.process, late)
   )
   assert record.shard == model.Shard("a")
-  assert request not in sim.answers
+  assert request not in emulation.answers
 
 
 def test_ending_process_answers_all_waiting_callers():
-  sim = fleets.fleet()
-  request = sim.submit(
+  emulation = fleets.fleet()
+  request = emulation.submit(
       "a0", fleets.job("long", 2, 3000), [3.0] * 2, deadline_s=9.0
   )
-  sim.clock.run_until(1.5)
-  sim.hosts["a0"].apply(events.DrainStarted())
-  sim.clock.run_until(2.5)
-  assert request not in sim.answers
-  sim.hosts["a0"].apply(events.ProcessEnding())
-  assert sim.answers[request].answer.outcome is model.Outcome.UNKNOWN
-  sim.clock.run_until(3.0)
-  assert sum(len(e.running) for e in sim.endpoints.values()) == 0
+  emulation.clock.run_until(1.5)
+  emulation.hosts["a0"].apply(events.DrainStarted())
+  emulation.clock.run_until(2.5)
+  assert request not in emulation.answers
+  emulation.hosts["a0"].apply(events.ProcessEnding())
+  assert emulation.answers[request].answer.outcome is model.Outcome.UNKNOWN
+  emulation.clock.run_until(3.0)
+  assert sum(len(e.running) for e in emulation.endpoints.values()) == 0
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_planned_stops_in_turn_start_no_task_twice(seed):
-  sim = fleets.fleet(seed=seed)
-  hosts = list(sim.hosts.values())
-  requests = fleets.submit_load(sim, hosts, 8, 70)
+  emulation = fleets.fleet(seed=seed)
+  hosts = list(emulation.hosts.values())
+  requests = fleets.submit_load(emulation, hosts, 8, 70)
   for number, zone in enumerate(fleets.ZONES * 2):
     when = 1.5 + number
 
     def stop(zone=zone):
-      owner = fleets.owner_of(sim, zone)
+      owner = fleets.owner_of(emulation, zone)
       owner.apply(events.DrainStarted())
       hosts.remove(owner)
 
       def restart():
         assert owner.state.idle
-        sim.kill(owner.name)
-        hosts.append(sim.add_host(owner.name, zone))
+        emulation.kill(owner.name)
+        hosts.append(emulation.add_host(owner.name, zone))
 
-      sim.clock.after(2.6, restart)
+      emulation.clock.after(2.6, restart)
 
-    sim.clock.at(when, stop)
-  sim.clock.run_until(15)
-  assert sim.broken == []
-  found = fleets.count_outcomes(sim, requests)
+    emulation.clock.at(when, stop)
+  emulation.clock.run_until(15)
+  assert emulation.broken == []
+  found = fleets.count_outcomes(emulation, requests)
   assert found[model.Outcome.DONE] > 0.93 * len(requests)
 
 
 def test_job_offered_to_a_replaced_holder_is_never_reported_as_not_run():
   """The holder accepts the job and is replaced before its answer arrives."""
-  sim = fleets.fleet()
-  owner = fleets.owner_of(sim, "a")
-  host = fleets.other_host(sim, owner)
-  request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
+  emulation = fleets.fleet()
+  owner = fleets.owner_of(emulation, "a")
+  host = fleets.other_host(emulation, owner)
+  request = emulation.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
   shard = model.Shard("a")
   before = host.state.coordinator.holders[shard].holder
   after = model.Holder("a8", "a8.boot", before.peer, before.fence + 1)
   # The offer is unanswered; neither the next holder nor any other has capacity.
-  sim.hosts["a8"] = host
+  emulation.hosts["a8"] = host
   record.declined_by.update((model.Shard("b"), model.Shard("c")))
   host.apply(events.HolderChanged(shard, after))
   decline = linkmessages.Declined(record.key, record.offer_count, 100)
@@ -316,61 +338,61 @@
           shard, linkmessages.HostProcess("a8", "a8.boot"), decline
       )
   )
-  reply = sim.answers.get(request)
+  reply = emulation.answers.get(request)
   assert reply is None or reply.answer.outcome is not model.Outcome.NOT_RUN
 
 
 def test_job_with_an_unanswered_offer_is_never_reported_as_not_run():
   """The caller's deadline passes while the holder's answer is on its way."""
-  sim = fleets.fleet()
-  owner = fleets.owner_of(sim, "a")
-  host = fleets.other_host(sim, owner)
-  request = sim.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
+  emulation = fleets.fleet()
+  owner = fleets.owner_of(emulation, "a")
+  host = fleets.other_host(emulation, owner)
+  request = emulation.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
   host.partitioned_from.add(
       owner.name
   )  # The offer has been sent; no answer arrives.
   (record,) = host.state.coordinator.jobs.values()
-  record.deadline = sim.clock.now
+  record.deadline = emulation.clock.now
   host.apply(events.Tick())
-  assert sim.answers[request].answer.outcome is model.Outcome.UNKNOWN
+  assert emulation.answers[request].answer.outcome is model.Outcome.UNKNOWN
 
 
 def test_job_starts_in_another_data_centre_rather_than_wait():
-  sim = fleets.fleet()
-  fill = sim.submit("a0", fleets.job("fill", 18, 150), [0.15] * 18)
-  sim.clock.run_until(1.05)
-  request = sim.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
-  sim.clock.run_until(1.1)
+  emulation = fleets.fleet()
+  fill = emulation.submit("a0", fleets.job("fill", 18, 150), [0.15] * 18)
+  emulation.clock.run_until(1.05)
+  request = emulation.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
+  emulation.clock.run_until(1.1)
   started_in = [
       e.info.data_centre
-      for e in sim.endpoints.values()
+      for e in emulation.endpoints.values()
       for run in e.starts
       if run.task.job_id == "next"
   ]
   assert len(started_in) == 2 and "a" not in started_in
-  sim.clock.run_until(2.0)
-  assert sim.answers[request].took_s < 0.22
-  assert sim.answers[fill].answer.outcome is model.Outcome.DONE
+  emulation.clock.run_until(2.0)
+  assert emulation.answers[request].took_s < 0.22
+  assert emulation.answers[fill].answer.outcome is model.Outcome.DONE
 
 
 def test_job_waits_in_the_data_centre_with_the_shortest_wait():
-  sim = fleets.fleet()
+  emulation = fleets.fleet()
   for zone, run_ms in zip(fleets.ZONES, (200, 100, 200), strict=True):
     filling = fleets.job(f"fill-{zone}", 18, run_ms)
-    sim.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
-  sim.clock.run_until(1.05)
-  request = sim.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
-  sim.clock.run_until(2.0)
-  assert sim.answers[request].answer.outcome is model.Outcome.DONE
-  assert sim.answers[request].took_s < 0.3
+    emulation.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
+  emulation.clock.run_until(1.05)
+  request = emulation.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
+  emulation.clock.run_until(2.0)
+  assert emulation.answers[request].answer.outcome is model.Outcome.DONE
+  assert emulation.answers[request].took_s < 0.3
 
 
 def test_job_that_cannot_end_in_time_is_refused_immediately():
-  sim = fleets.fleet()
+  emulation = fleets.fleet()
   wide = fleets.job("wide", 400, 1000)
-  request = sim.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
-  sim.clock.run_until(1.2)
-  reply = sim.answers[request].answer
+  request = emulation.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
+  emulation.clock.run_until(1.2)
+  reply = emulation.answers[request].answer
   assert reply.outcome is model.Outcome.NOT_RUN
   assert reply.retry_after_s > 0
-  assert not any(e.starts for e in sim.endpoints.values())
+  assert not any(e.starts for e in emulation.endpoints.values())
