--- a/fescueturn/emulator/fleetstore.py
+++ b/fescueturn/emulator/fleetstore.py
@@ -174,13 +174,13 @@
 
   def list_ended(self, host, effect: keptevents.ListEndedJobs):
     """Lists kept jobs that are over."""
-    host.apply(self._fleet.kept_store.list_ended(effect))
+    host.apply(self._fleet.kept_store.get_finished_jobs(effect))
 
   def list_open(self, host, effect: keptevents.ListOpenJobs):
     """Lists kept jobs that are not over."""
     list_open = keptevents.OpenJobsListed(effect.shard, effect.fence, ())
     if self.can_reach_store(host):
-      list_open = self._fleet.kept_store.list_open(effect)
+      list_open = self._fleet.kept_store.get_open_jobs(effect)
     self._fleet.clock.after(2 * STORE_DELAY_S, lambda: host.apply(list_open))
 
   def release(self, host, effect: events.ReleaseShard):
