--- a/fescueturn/standins/kvstore.py
+++ b/fescueturn/standins/kvstore.py
@@ -130,7 +130,7 @@
     self._lag_s = lag_s
     self._changes: list[tuple[float, kvtypes.Item]] = []
 
-  def note(self, now: float, item: kvtypes.Item):
+  def record_change(self, now: float, item: kvtypes.Item):
     """Takes a change under the prefix."""
     self._changes.append((now, item))
 
--- a/fescueturn/standins/standin_platform.py
+++ b/fescueturn/standins/standin_platform.py
@@ -42,7 +42,7 @@
   def _record(self, item: kvtypes.Item):
     super()._record(item)
     if item.key.startswith(kvtypes.HOSTS_PREFIX):
-      self._hosts.note(self._now(), item)
+      self._hosts.record_change(self._now(), item)
 
   def range(self, prefix: str) -> list[kvtypes.Item]:
     """Returns the items under a prefix; those of hosts as they were."""
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -61,7 +61,7 @@
 
 
 def assert_guarantees_hold(emulation, submitted):
-  """Checks that accepted jobs are done, once, and that refused ones never ran."""
+  """Checks that accepted jobs are done, once, and refused ones never ran."""
   assert emulation.broken == []
   started = {
       run.task.job_id for e in emulation.endpoints.values() for run in e.starts
--- a/tests/test_kvstore.py
+++ b/tests/test_kvstore.py
@@ -62,9 +62,9 @@
   hosts = kvstore.LaggingList(lag_s=2.0)
   here = kvtypes.HostRecord("e1", "a:1", "dc")
   leaving = kvtypes.HostRecord("e1", "a:1", "dc", leaving=True)
-  hosts.note(0.0, kvtypes.Item(here.key, 1, here.encode()))
-  hosts.note(5.0, kvtypes.Item(here.key, 2, leaving.encode()))
-  hosts.note(9.0, kvtypes.Item(here.key, 3, None))
+  hosts.record_change(0.0, kvtypes.Item(here.key, 1, here.encode()))
+  hosts.record_change(5.0, kvtypes.Item(here.key, 2, leaving.encode()))
+  hosts.record_change(9.0, kvtypes.Item(here.key, 3, None))
 
   def seen(now):
     return [kvtypes.decode_host(item.value) for item in hosts.view(now)]
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -37,7 +37,7 @@
     )
     watch = await curio.spawn(kv.watch, "/m/", revision, 10_000)
     await curio.sleep(0.05)
-    await steering.fault("down")
+    await steering.set_fault("down")
     await curio.sleep(0.4)  # The lease runs out meanwhile.
     try:
       return await watch.join()
@@ -62,10 +62,10 @@
 
 def test_lost_reply_follows_a_write_that_took_effect():
   async def body(kv, steering):
-    await steering.fault("lose_reply")
+    await steering.set_fault("lose_reply")
     with pytest.raises(errors.KvError):
       await kv.transact(kvtypes.Transaction({"/a": 0}, {"/a": b"1"}))
-    await steering.fault("none")
+    await steering.set_fault("none")
     return await kv.get("/a")
 
   found = curio.run(with_platform, body)
