--- a/fescueturn/scheduler/coordinator.py
+++ b/fescueturn/scheduler/coordinator.py
@@ -1,69 +1,75 @@
-"""The coordinator: the host that a caller's job reached, until its answer.
+"""The coordinator of a job: the host that received it from the caller.
 
 It offers the job to the holder of its own data centre's endpoints, then to
 those of the other data centres, and answers the caller once. A job that was
-accepted stays with its holder; if that holder is lost, the next holder of the
-same shard gets it with its running tasks, or the job is given up.
+accepted stays with its holder. If that holder is lost, the next holder of the
+same shard takes over the job with its running tasks, or the job is given up.
 """
 
-from fescueturn.scheduler import asking
 from fescueturn.scheduler import coordinatorstate
 from fescueturn.scheduler import events
+from fescueturn.scheduler import jobdispatch
+from fescueturn.scheduler import jobqueries
 from fescueturn.scheduler import keptevents
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
-from fescueturn.scheduler import offering
 
-# A coordinator tells a holder this often that it is alive: three pings within
-# the holder's patience of 0.35 s.
+# Period of the heartbeats to a holder that has a job of this host's: three
+# pings within the 0.35 s after which the holder takes a coordinator for lost.
 PING_PERIOD_S = 0.1
-# A holder of this data centre that has no job of this host's is told less often:
-# two and a half pings within the silence (0.5 s) that makes a holder unusable.
+# Period for a holder of this data centre that has no job of this host's: two
+# and a half pings within `jobdispatch.HOLDER_TIMEOUT_S` (0.5 s).
 IDLE_PING_PERIOD_S = 0.19
-# Holders of other data centres are asked how many jobs wait there this often,
-# while no job of this host is there: callers may be told a count 2 s old.
-FAR_PING_PERIOD_S = 1.0
-# A job whose holder is lost waits this long for the shard's next one: the
-# claim in the store lapses 1.5 s after its last renewal, and the next holder
+# Period for a holder of another data centre that has no job of this host's. Its
+# answers give the number of jobs that wait there; callers may get a count that
+# is 2 s old.
+REMOTE_PING_PERIOD_S = 1.0
+# How long a job whose holder is lost waits for the shard's next holder: the
+# claim in the store expires 1.5 s after its last renewal, and the next holder
 # needs some 50 ms. No other shard may start the job meanwhile, since its runs
-# may go on for 0.4 s of silence and a lease of 0.8 s.
-ORPHAN_PATIENCE_S = 2.0
-# A job that has not begun waits this long for a holder when there is none: a
-# planned stop hands a shard over in some 30 ms, a killed holder's is taken over
-# within 0.2 s.
-HELD_PATIENCE_S = 0.3
-# A caller gets its answer this long before it stops waiting: a round trip to
-# the client and a slow host's tick.
+# may continue for 0.4 s of silence and a lease of 0.8 s.
+ORPHAN_TIMEOUT_S = 2.0
+# How long a job that has not started waits for a holder when there is none: a
+# planned stop hands a shard over in some 30 ms, and the shard of a killed
+# holder is taken over within 0.2 s.
+HELD_TIMEOUT_S = 0.3
+# How long before the caller's deadline it gets an answer: a round trip to the
+# client and the tick of a slow host.
 ANSWER_MARGIN_S = 0.03
 
 
-def job_arrived(state: coordinatorstate.Coordinator, event: events.JobArrived):
-  """Takes a caller's job and offers it."""
+def handle_job(state: coordinatorstate.Coordinator, event: events.JobArrived):
+  """Handles a job from a caller: registers it and offers it to a holder."""
   earlier = state.jobs.get(event.job.id)
   if earlier is not None:
-    # The caller sent the job again: the newer request gets the answer.
-    offering.answer(
-        state, earlier, model.Outcome.UNKNOWN, "sent_again", keep=True
+    # The caller repeated its request: the newer one gets the job's answer.
+    jobdispatch.answer(
+        state, earlier, model.Outcome.UNKNOWN, "sent_again", keep_record=True
     )
   key = linkmessages.JobKey(state.me, event.job.id)
   record = coordinatorstate.JobRecord(
-      event.request_id, key, event.job, state.now, event.deadline_s, event.trace
+      event.request_id,
+      key,
+      event.job,
+      state.now,
+      event.deadline_s,
+      event.trace_id,
   )
   if earlier is not None:
-    _continue(state, record, earlier)
+    _join_request(state, record, earlier)
     return
   _register(state, record)
-  offering.offer_next(state, record)
+  jobdispatch.offer_next(state, record)
 
 
-def _continue(
+def _join_request(
     state,
     record: coordinatorstate.JobRecord,
     earlier: coordinatorstate.JobRecord,
 ):
-  """A job sent again goes on where its first request was."""
+  """Attaches a repeated request to the record of the job it repeats."""
   earlier.request_id = record.request_id
-  earlier.trace = record.trace
+  earlier.trace_id = record.trace_id
   state.by_request[record.request_id] = earlier
   state.counters["joined"] += 1
 
@@ -74,41 +80,43 @@
   state.counters["jobs"] += 1
 
 
-def heard(state: coordinatorstate.Coordinator, event: events.Heard):
-  """Takes a message from a holder."""
+def handle_message(
+    state: coordinatorstate.Coordinator, event: events.HolderMessageReceived
+):
+  """Handles a message from a holder; ignores those of an earlier process."""
   holder = state.holders.get(event.shard)
-  if holder is None or holder.party != event.party:
+  if holder is None or holder.process != event.process:
     return
-  holder.heard_at = state.now
+  holder.last_contact_at = state.now
   message = event.message
   if isinstance(message, linkmessages.Pong):
-    _ponged(state, event.shard, holder, message)
+    _pong_received(state, event.shard, holder, message)
     return
-  if isinstance(message, keptevents.Told):
-    asking.told(state, message)
+  if isinstance(message, keptevents.KeptJobReply):
+    jobqueries.handle_state_report(state, message)
     return
   record = state.jobs.get(message.key.job_id)
   if record is None or record.key != message.key:
     return
-  if record.shard != event.shard or record.party != event.party:
+  if record.shard != event.shard or record.process != event.process:
     return
-  _ON_MESSAGE[type(message)](state, record, message)
+  _MESSAGE_HANDLERS[type(message)](state, record, message)
 
 
-def _ponged(
+def _pong_received(
     state,
     shard,
     holder: coordinatorstate.HolderRecord,
     message: linkmessages.Pong,
 ):
   holder.pending = dict(message.pending)
-  holder.take_roster(message)
+  holder.update_roster(message)
   if not message.holding:
     _holder_lost(state, shard, "stood_down")
     return
   if holder.lost:
     holder.lost = False
-    state.out(
+    state.emit(
         events.log(
             "holder_regained",
             data_centre=shard.data_centre,
@@ -116,156 +124,160 @@
             fence=holder.holder.fence,
         )
     )
-    _offer_again(state, shard)
+    _reoffer_jobs(state, shard)
   else:
     _offer_orphans(state, shard)
 
 
 def _offer_orphans(state, shard: model.Shard):
-  """Offers the shard's holder, which is alive, jobs that still wait for it."""
+  """Offers orphaned jobs of the shard to its holder, which is alive."""
   for record in list(state.jobs.values()):
     if (
         record.shard == shard
         and record.phase is coordinatorstate.Phase.ORPHANED
     ):
-      offering.offer(state, record, shard, resumed=True)
+      jobdispatch.offer(state, record, shard, resumed=True)
 
 
-def _offer_again(state, shard: model.Shard):
-  """Offers the shard's holder the jobs that an earlier one had."""
+def _reoffer_jobs(state, shard: model.Shard):
+  """Offers the shard's holder the held jobs and those of an earlier holder."""
   for record in list(state.jobs.values()):
     if record.phase is coordinatorstate.Phase.HELD:
-      offering.offer(state, record, shard, resumed=False)
+      jobdispatch.offer(state, record, shard, resumed=False)
     elif record.shard == shard:
-      # An offer without an answer may have been taken up by that holder.
-      record.maybe_begun = True
-      offering.offer(state, record, shard, resumed=True)
+      # The earlier holder may have accepted an offer that it didn't answer.
+      record.may_be_running = True
+      jobdispatch.offer(state, record, shard, resumed=True)
 
 
-def offer_held(state: coordinatorstate.Coordinator):
-  """Offers jobs that no holder could take: a data centre may be open again."""
+def offer_held_jobs(state: coordinatorstate.Coordinator):
+  """Offers held jobs, since the evacuation of a data centre may have ended."""
   for record in list(state.jobs.values()):
     if record.phase is coordinatorstate.Phase.HELD:
-      offering.offer_next(state, record)
+      jobdispatch.offer_next(state, record)
 
 
-def _accepted(
+def _offer_accepted(
     state, record: coordinatorstate.JobRecord, message: linkmessages.Accepted
 ):
   if record.job.kept:
-    # It is stored and runs on its own from now on.
-    offering.answer(state, record, model.Outcome.KEPT, "stored")
+    # The job is stored and no longer depends on this coordinator.
+    jobdispatch.answer(state, record, model.Outcome.KEPT, "stored")
     return
-  if message.number != record.offers:
+  if message.number != record.offer_count:
     return
   record.phase = coordinatorstate.Phase.ACCEPTED
-  record.maybe_begun = True
+  record.may_be_running = True
   record.orphaned_at = 0.0
 
 
-def _declined(
+def _offer_declined(
     state, record: coordinatorstate.JobRecord, message: linkmessages.Declined
 ):
-  if message.number != record.offers:
+  if message.number != record.offer_count:
     # A later offer to the same holder may have been accepted.
     return
-  if record.maybe_begun:
-    # Its runs may go on under the shard's next holder, and only there: a host
-    # that was offered the job may not know yet that it is the holder.
+  if record.may_be_running:
+    # The job's runs may continue, and only the shard's next holder may take
+    # them over. The host that declined may not know yet that it is that holder.
     _orphan(state, record)
     return
   if message.in_time:
-    record.waits[record.shard] = message.wait_ms
-    offering.offer_next(state, record)
+    record.wait_ms_by_shard[record.shard] = message.wait_ms
+    jobdispatch.offer_next(state, record)
     return
-  record.waits.pop(record.shard, None)
-  record.tried.add(record.shard)
+  record.wait_ms_by_shard.pop(record.shard, None)
+  record.declined_by.add(record.shard)
   if message.wait_ms:
     record.reason = message.reason
     record.wait_ms = max(record.wait_ms, message.wait_ms)
-  offering.offer_next(state, record)
+  jobdispatch.offer_next(state, record)
 
 
-def _returned(
+def _job_returned(
     state, record: coordinatorstate.JobRecord, message: linkmessages.Returned
 ):
-  """The holder gave the job back: it may run afresh in another data centre."""
-  if message.number != record.offers:
+  """Offers a job that its holder handed back to other data centres."""
+  if message.number != record.offer_count:
     return  # A later offer to the same holder is under way.
-  record.ran = record.ran or message.ran
-  record.maybe_begun = False
-  record.waits.clear()
-  record.tried = {record.shard}
-  offering.offer_next(state, record)
+  record.may_have_run = record.may_have_run or message.may_have_run
+  record.may_be_running = False
+  record.wait_ms_by_shard.clear()
+  record.declined_by = {record.shard}
+  jobdispatch.offer_next(state, record)
 
 
 def _job_ended(
     state, record: coordinatorstate.JobRecord, message: linkmessages.JobEnded
 ):
-  offering.answer(state, record, message.outcome, message.reason)
+  jobdispatch.answer(state, record, message.outcome, message.reason)
 
 
-_ON_MESSAGE = {
-    linkmessages.Accepted: _accepted,
-    linkmessages.Declined: _declined,
+_MESSAGE_HANDLERS = {
+    linkmessages.Accepted: _offer_accepted,
+    linkmessages.Declined: _offer_declined,
     linkmessages.JobEnded: _job_ended,
-    linkmessages.Returned: _returned,
+    linkmessages.Returned: _job_returned,
 }
 
 
-def caller_gone(state: coordinatorstate.Coordinator, request_id: int):
-  """The caller hung up: nobody wants the job any more."""
+def handle_caller_disconnect(
+    state: coordinatorstate.Coordinator, request_id: int
+):
+  """Withdraws the job of a caller that closed its connection."""
   record = state.by_request.pop(request_id, None)
   if record is None:
     return
   state.jobs.pop(record.job.id, None)
   state.counters["caller_gone"] += 1
-  state.out(
+  state.emit(
       events.log(
           "caller_gone",
           job=record.job.id,
-          request=record.trace,
+          request=record.trace_id,
           phase=record.phase.value,
           age_ms=int((state.now - record.arrived) * 1000),
       )
   )
-  offering.withdraw(state, record)
+  jobdispatch.withdraw(state, record)
 
 
-def job_cancelled(state: coordinatorstate.Coordinator, job_id: str):
-  """The caller cancelled the job."""
+def handle_cancellation(state: coordinatorstate.Coordinator, job_id: str):
+  """Withdraws a job that its caller cancelled, and answers the caller."""
   record = state.jobs.get(job_id)
   if record is not None:
-    offering.withdraw(state, record)
-    offering.answer(state, record, model.Outcome.UNKNOWN, "cancelled")
+    jobdispatch.withdraw(state, record)
+    jobdispatch.answer(state, record, model.Outcome.UNKNOWN, "cancelled")
 
 
-def give_up_all(state: coordinatorstate.Coordinator):
-  """Answers every caller that still waits: this process ends."""
+def abort_all(state: coordinatorstate.Coordinator):
+  """Withdraws every job and answers its caller, as the process is stopping."""
   for record in list(state.jobs.values()):
-    offering.withdraw(state, record)
-    offering.answer(state, record, offering.unserved(record), "stopping")
-  asking.give_up_all(state)
+    jobdispatch.withdraw(state, record)
+    jobdispatch.answer(
+        state, record, jobdispatch.unserved_outcome(record), "stopping"
+    )
+  jobqueries.abort_all(state)
 
 
 def pending(state: coordinatorstate.Coordinator, queue: str) -> int:
-  """Returns how many of a queue's jobs have not begun.
+  """Returns how many of a queue's jobs have not started.
 
-  They are the kept ones of all shards, as their holders last told, and those
-  here that no holder has taken yet.
+  They are the kept jobs of all shards, as their holders last reported, and the
+  jobs of this host that no holder has accepted yet.
   """
   kept = sum(h.pending.get(queue, 0) for h in state.holders.values())
-  here = sum(
+  unaccepted = sum(
       job.job.queue == queue and job.phase is coordinatorstate.Phase.OFFERED
       for job in state.jobs.values()
   )
-  return kept + here
+  return kept + unaccepted
 
 
-def holder_changed(
+def handle_holder_change(
     state: coordinatorstate.Coordinator, event: events.HolderChanged
 ):
-  """The store names another holder of a shard."""
+  """Handles a change of a shard's holder in the store."""
   before = state.holders.get(event.shard)
   if event.holder is None:
     if before is not None and not alive(state, before):
@@ -275,7 +287,7 @@
     return
   after = coordinatorstate.HolderRecord(event.holder, state.now)
   state.holders[event.shard] = after
-  state.out(
+  state.emit(
       events.log(
           "holder_changed",
           data_centre=event.shard.data_centre,
@@ -283,35 +295,37 @@
           fence=event.holder.fence,
       )
   )
-  if before is None or before.lost or before.party != after.party:
-    _offer_again(state, event.shard)
+  if before is None or before.lost or before.process != after.process:
+    _reoffer_jobs(state, event.shard)
 
 
 def alive(
     state: coordinatorstate.Coordinator, record: coordinatorstate.HolderRecord
 ) -> bool:
-  """Returns whether a holder was heard from of late."""
+  """Returns whether a holder is connected and answers."""
   return not record.lost and not silent(state, record)
 
 
-def link_lost(state: coordinatorstate.Coordinator, event: events.LinkLost):
-  """The link to a holder broke."""
+def handle_link_lost(
+    state: coordinatorstate.Coordinator, event: events.LinkLost
+):
+  """Handles the loss of the link to a holder."""
   holder = state.holders.get(event.shard)
-  if holder is not None and holder.party == event.party:
+  if holder is not None and holder.process == event.process:
     _holder_lost(state, event.shard, "refused" if event.refused else "link")
 
 
-def _holder_lost(state, shard: model.Shard, why: str):
+def _holder_lost(state, shard: model.Shard, reason: str):
   holder = state.holders[shard]
   if not holder.lost:
-    state.out(
+    state.emit(
         events.log(
             "holder_lost",
             data_centre=shard.data_centre,
             holder=holder.holder.host,
             fence=holder.holder.fence,
-            why=why,
-            heard_ms_ago=int((state.now - holder.heard_at) * 1000),
+            why=reason,
+            heard_ms_ago=int((state.now - holder.last_contact_at) * 1000),
         )
     )
   holder.lost = True
@@ -321,34 +335,40 @@
 
 
 def _orphan(state, record: coordinatorstate.JobRecord):
-  """The job's holder is lost: it waits, or goes elsewhere if not begun."""
-  record.maybe_begun = True
+  """Has a job wait for its shard's next holder, as its holder is lost."""
+  record.may_be_running = True
   record.phase = coordinatorstate.Phase.ORPHANED
   record.orphaned_at = record.orphaned_at or state.now
 
 
 def tick(state: coordinatorstate.Coordinator):
-  """Pings holders, gives up offers and jobs whose time is over."""
+  """Pings holders and checks the time-outs of holders, queries and jobs."""
   _ping(state)
-  asking.tick(state)
-  _note_served(state)
+  jobqueries.tick(state)
+  _update_unserved_since(state)
   for record in list(state.jobs.values()):
     if state.now > record.deadline - ANSWER_MARGIN_S:
-      offering.withdraw(state, record)
-      offering.answer(state, record, offering.unserved(record), "deadline")
+      jobdispatch.withdraw(state, record)
+      jobdispatch.answer(
+          state, record, jobdispatch.unserved_outcome(record), "deadline"
+      )
     elif record.phase is coordinatorstate.Phase.HELD:
-      if state.now - record.arrived > HELD_PATIENCE_S:
-        offering.answer(state, record, offering.unserved(record), "no_holder")
+      if state.now - record.arrived > HELD_TIMEOUT_S:
+        jobdispatch.answer(
+            state, record, jobdispatch.unserved_outcome(record), "no_holder"
+        )
     elif record.phase is coordinatorstate.Phase.ORPHANED:
-      if state.now - record.orphaned_at > ORPHAN_PATIENCE_S:
-        offering.answer(state, record, offering.unserved(record), "holder_lost")
-    elif not offering.reachable(state, record.shard):
+      if state.now - record.orphaned_at > ORPHAN_TIMEOUT_S:
+        jobdispatch.answer(
+            state, record, jobdispatch.unserved_outcome(record), "holder_lost"
+        )
+    elif not jobdispatch.reachable(state, record.shard):
       _holder_lost(state, record.shard, "silent")
 
 
-def _note_served(state):
-  """Notes whether a job could be offered to any holder."""
-  if any(offering.usable(state, shard) for shard in state.holders):
+def _update_unserved_since(state):
+  """Updates since when no holder can be offered a job."""
+  if any(jobdispatch.usable(state, shard) for shard in state.holders):
     state.unserved_since = None
   elif state.unserved_since is None:
     state.unserved_since = state.now
@@ -358,21 +378,27 @@
   if state.now - state.pinged_at < PING_PERIOD_S:
     return
   state.pinged_at = state.now
-  far_too = state.now - state.pinged_far_at >= FAR_PING_PERIOD_S
-  if far_too:
-    state.pinged_far_at = state.now
-  busy = {job.shard for job in state.jobs.values()}
-  doubts = _doubts(state)
+  remote_due = state.now - state.remote_pinged_at >= REMOTE_PING_PERIOD_S
+  if remote_due:
+    state.remote_pinged_at = state.now
+  shards_with_jobs = {job.shard for job in state.jobs.values()}
+  suspects = _suspects(state)
   for shard, holder in state.holders.items():
-    near = shard.data_centre == state.data_centre
+    is_local = shard.data_centre == state.data_centre
     due = state.now - holder.pinged_at > IDLE_PING_PERIOD_S
-    tells = bool(doubts) and not near
-    if (near and due) or far_too or shard in busy or holder.lost or tells:
+    has_reports = bool(suspects) and not is_local
+    if (
+        (is_local and due)
+        or remote_due
+        or shard in shards_with_jobs
+        or holder.lost
+        or has_reports
+    ):
       holder.pinged_at = state.now
       # Only a host of the same data centre may be the shard's next holder.
-      roster = holder.roster_version if near else None
-      can_hold = near and state.can_hold
-      state.tell(
+      roster = holder.roster_version if is_local else None
+      can_hold = is_local and state.can_hold
+      state.send_to_holder(
           shard,
           linkmessages.Ping(
               shard,
@@ -380,20 +406,20 @@
               state.now,
               roster,
               can_hold,
-              () if near else doubts,
+              () if is_local else suspects,
           ),
       )
 
 
-def _doubts(state) -> tuple[linkmessages.Doubt, ...]:
-  """Returns the holders of this data centre that are silent."""
+def _suspects(state) -> tuple[linkmessages.SuspectedHolder, ...]:
+  """Returns the holders of this data centre that this host suspects."""
   return tuple(
-      linkmessages.Doubt(shard, record.holder.fence)
+      linkmessages.SuspectedHolder(shard, record.holder.fence)
       for shard, record in state.holders.items()
       if shard.data_centre == state.data_centre and silent(state, record)
   )
 
 
 def silent(state, record: coordinatorstate.HolderRecord) -> bool:
-  """Returns whether nothing at all has come from a holder for a while."""
-  return state.now - record.heard_at >= offering.HOLDER_SILENCE_S
+  """Returns whether a holder sent nothing for `HOLDER_TIMEOUT_S`."""
+  return state.now - record.last_contact_at >= jobdispatch.HOLDER_TIMEOUT_S
--- a/fescueturn/scheduler/coordinatorstate.py
+++ b/fescueturn/scheduler/coordinatorstate.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows: its callers' jobs, and the shards' holders."""
+"""The state of a coordinator: its callers' jobs, and the shards' holders."""
 
 import collections
 import enum
@@ -10,74 +10,80 @@
 
 
 class Phase(enum.Enum):
-  """How far a coordinator is with a job."""
+  """The phase of a job at its coordinator."""
 
-  # No holder is there to take it; nothing of it has begun.
+  # No holder is available for the job, and none of its tasks has started.
   HELD = "held"
   OFFERED = "offered"
   ACCEPTED = "accepted"
-  # Its holder is lost; the job waits for the shard's next one.
+  # The job's holder is lost; the job waits for the shard's next holder.
   ORPHANED = "orphaned"
 
 
 AT_HOLDER = (Phase.OFFERED, Phase.ACCEPTED)
-# A caller's deadline is looked at closely from so long before it: two of the
-# slow ticks (0.1 s) of a host that waits for nothing else.
+# The host ticks fast from this long before a caller's deadline: more than two
+# of the slow ticks (0.1 s) of an idle host.
 DEADLINE_NEAR_S = 0.25
-# A host that can have no job run for so long refuses at once and says that it
-# isn't ready, so that the balancer brings callers to others: longer than most
-# changes of holder take (0.1 to 0.8 s), short against a partition of 5 s.
+# A host that has had no usable holder for this long refuses jobs at once and
+# reports that it isn't ready, so that the load balancer sends callers to other
+# hosts. This is longer than most changes of holder take (0.1 to 0.8 s) and
+# short compared with a network partition of 5 s.
 UNSERVED_S = 1.0
 
 
 class JobRecord:
-  """A caller's job on its way to an answer.
+  """A caller's job that has not been answered yet.
 
   Attributes:
     request_id: the caller's request.
-    key: the job, in this host's hands.
-    arrived: when it came (s).
+    key: the job's id together with this host, its coordinator.
+    job: what to run.
+    arrived: when the job arrived (s).
     deadline: when its caller stops waiting (s).
-    phase: how far it is.
-    shard: whose holder has or had it.
-    party: which process that was.
-    offers: how often it was offered.
+    trace_id: the caller's own id for the request, for the logs.
+    phase: the job's phase.
+    shard: the shard to whose holder the job was last offered, if any.
+    process: that holder's process.
+    offer_count: how often the job was offered.
     orphaned_at: when its holder was lost (s).
-    tried: shards that declined it for good.
-    waits: shards that would have it done in time after a wait (ms).
-    maybe_begun: True while a run of a task may go on at a holder.
-    ran: True once a task may have run, whether or not it still does.
+    declined_by: shards that declined the job for good.
+    wait_ms_by_shard: by shard, the wait after which it would still finish the
+      job in time (ms).
+    may_be_running: True while a task of the job may be running at a holder.
+    may_have_run: True once a task may have run, whether or not it still does.
+    reason: why a holder declined the job for good, for the logs.
+    wait_ms: the longest wait that such a holder expected (ms).
   """
 
-  def __init__(self, request_id, key, job, now, deadline_s, trace):
+  def __init__(self, request_id, key, job, now, deadline_s, trace_id):
     self.request_id: int = request_id
     self.key: linkmessages.JobKey = key
     self.job: model.Job = job
     self.arrived: float = now
     self.deadline: float = now + deadline_s
-    self.trace: str = trace
+    self.trace_id: str = trace_id
     self.phase = Phase.OFFERED
     self.shard: model.Shard | None = None
-    self.party: linkmessages.Party | None = None
-    self.offers = 0
+    self.process: linkmessages.HostProcess | None = None
+    self.offer_count = 0
     self.orphaned_at = 0.0
-    self.tried: set[model.Shard] = set()
-    self.waits: dict[model.Shard, int] = {}
-    self.maybe_begun = False
-    self.ran = False
+    self.declined_by: set[model.Shard] = set()
+    self.wait_ms_by_shard: dict[model.Shard, int] = {}
+    self.may_be_running = False
+    self.may_have_run = False
     self.reason = ""
     self.wait_ms = 0
 
 
-class Question:
-  """What callers want of a kept job; by request, until when they wait (s).
+class JobQuery:
+  """A query about a kept job, shared by all callers that make the same one.
 
   Attributes:
     job_id: the job.
-    shard: whose holder is asked.
-    cancel: True to have it cancelled, False to be told its state.
-    requests: who waits, and until when (s).
-    asked_at: when the holder was last asked (s).
+    shard: the shard whose holder is queried.
+    cancel: True to cancel the job, False to get its state.
+    requests: by request, until when its caller waits (s).
+    last_sent_at: when the query was last sent to the holder (s).
   """
 
   def __init__(self, job_id: str, shard: model.Shard, cancel: bool):
@@ -85,37 +91,46 @@
     self.shard = shard
     self.cancel = cancel
     self.requests: dict[int, float] = {}
-    self.asked_at = 0.0
+    self.last_sent_at = 0.0
 
 
 class HolderRecord:
-  """What is known of a shard's holder, from the store and its messages."""
+  """A shard's holder, as known from the store and from its messages.
+
+  Attributes:
+    holder: the holder as the store names it.
+    last_contact_at: when its last message arrived (s).
+    pinged_at: when it was last pinged (s).
+    lost: True while the holder is presumed lost.
+    pending: how many kept jobs wait to start there, by queue, as it last
+      reported.
+    roster: every endpoint where something may run by the holder's orders.
+    roster_version: the version of `roster`; 0 if none was received.
+    roster_valid_at: when the ping was sent that last confirmed `roster` (s).
+  """
 
   def __init__(self, holder: model.Holder, now: float):
     self.holder = holder
-    self.heard_at = now
+    self.last_contact_at = now
     self.pinged_at = 0.0
     self.lost = False
-    # Kept jobs that wait to begin there, by queue, as last told.
     self.pending: dict[str, int] = {}
-    # Every endpoint where something may run by its orders: the version told
-    # (0: none), and since when at least it was so (s).
     self.roster: frozenset[str] = frozenset()
     self.roster_version = 0
-    self.roster_at = 0.0
+    self.roster_valid_at = 0.0
 
   @property
-  def party(self) -> linkmessages.Party:
+  def process(self) -> linkmessages.HostProcess:
     """The holder's process."""
-    return linkmessages.Party(self.holder.host, self.holder.boot)
+    return linkmessages.HostProcess(self.holder.host, self.holder.boot)
 
-  def take_roster(self, pong: linkmessages.Pong):
-    """Takes what an answer to a ping says of the holder's roster."""
+  def update_roster(self, pong: linkmessages.Pong):
+    """Updates the holder's roster from its answer to a ping."""
     if pong.endpoints is not None:
       self.roster = frozenset(pong.endpoints)
       self.roster_version = pong.roster
     if pong.roster and pong.roster == self.roster_version:
-      self.roster_at = pong.at
+      self.roster_valid_at = pong.at
 
 
 class Coordinator:
@@ -123,7 +138,7 @@
 
   def __init__(
       self,
-      me: linkmessages.Party,
+      me: linkmessages.HostProcess,
       data_centre: str,
       evacuations: evacuation.Evacuations,
   ):
@@ -131,45 +146,45 @@
     self.data_centre = data_centre
     self.evacuations = evacuations
     self.now = 0.0
-    # True while this host could carry a shard of its data centre.
+    # True while this host has the CPU to hold a shard and isn't draining.
     self.can_hold = False
-    # Since when no holder could be offered a job (s); None while one can.
+    # Since when no holder can be offered a job (s); None while one can.
     self.unserved_since: float | None = None
     self.holders: dict[model.Shard, HolderRecord] = {}
     self.jobs: dict[str, JobRecord] = {}
     self.by_request: dict[int, JobRecord] = {}
-    self.questions: dict[tuple[str, bool], Question] = {}
+    self.queries: dict[tuple[str, bool], JobQuery] = {}
     self.pinged_at = 0.0
-    self.pinged_far_at = 0.0
+    self.remote_pinged_at = 0.0
     self.counters: collections.Counter[str] = collections.Counter()
     self.effects: list[events.Effect] = []
 
   @property
   def serves(self) -> bool:
-    """True unless no holder could be offered a job for a while."""
+    """True unless no holder could be offered a job for `UNSERVED_S`."""
     since = self.unserved_since
     return since is None or self.now - since < UNSERVED_S
 
   @property
-  def hurried(self) -> bool:
-    """True while something here waits for a time shorter than a ping's."""
-    return bool(self.questions) or any(
+  def has_timeout_soon(self) -> bool:
+    """True while a time-out is due sooner than the idle tick period allows."""
+    return bool(self.queries) or any(
         job.phase not in AT_HOLDER or job.deadline - self.now < DEADLINE_NEAR_S
         for job in self.jobs.values()
     )
 
-  def out(self, *effects: events.Effect):
+  def emit(self, *effects: events.Effect):
     """Adds effects to carry out."""
     self.effects += effects
 
   def take_effects(self) -> list[events.Effect]:
-    """Returns the effects gathered since the last call."""
+    """Returns the effects added since the last call."""
     effects, self.effects = self.effects, []
     return effects
 
-  def tell(self, shard: model.Shard, message):
-    """Has a message sent to a shard's holder."""
-    self.out(events.TellHolder(shard, self.holders[shard].holder, message))
+  def send_to_holder(self, shard: model.Shard, message):
+    """Adds the effect that sends a message to a shard's holder."""
+    self.emit(events.SendToHolder(shard, self.holders[shard].holder, message))
 
   def snapshot(self) -> dict:
     """Returns a JSON-ready dump."""
@@ -182,7 +197,7 @@
             f"{shard.data_centre}/{shard.number}": {
                 "host": record.holder.host,
                 "fence": record.holder.fence,
-                "heard_s_ago": round(self.now - record.heard_at, 3),
+                "heard_s_ago": round(self.now - record.last_contact_at, 3),
                 "lost": record.lost,
             }
             for shard, record in self.holders.items()
--- a/fescueturn/scheduler/election.py
+++ b/fescueturn/scheduler/election.py
@@ -1,9 +1,10 @@
-"""Which host owns a shard: when to claim it in the store, and when to stop.
+"""Election of the host that holds a shard, by claims in the store.
 
-The claim is a key that a lease keeps alive, written by compare-and-swap; the
-revision at which it was written is the holder's fence number, so no two
-holders ever share one. A claim is taken over only when its key is gone, or
-its holder's process surely is (its port refuses connections).
+A claim is a key attached to a lease and written by compare-and-swap. The
+revision at which it was written is the holder's fencing token (`fence`), so no
+two holders ever share one. A claim is replaced only when its key is deleted or
+its holder is stale: its port refuses connections, it reports that it doesn't
+hold the shard, or several hosts of its data centre no longer hear from it.
 """
 
 import zlib
@@ -11,170 +12,209 @@
 from fescueturn.scheduler import events
 from fescueturn.scheduler import model
 
-# Hosts of a data centre claim a free shard one after the other, so that most
-# claims don't collide: the round trip to the store takes 4 to 6 ms.
+# Upper bound of a host's fixed delay before it claims a free shard. Staggered
+# hosts of a data centre rarely collide: the round trip to the store takes 4 to
+# 6 ms.
 STAGGER_S = 0.05
-# What the holder of a data centre takes of a processor at the heaviest: some
-# 180 jobs of 3.6 tasks a second, at 1.5 ms a task on the holder's side.
-ROOMY_CORES = 1.0
-# How much longer a host with no processor at all would wait; others in
-# proportion to what they lack of `ROOMY_CORES`. One of 0.516 cores waits 121 ms:
-# by then a roomy one has claimed (50 ms of stagger, a tick of 20 ms, 6 ms of the
-# store), and its claim is known (10 to 40 ms on a busy host). With 48 ms the two
-# claimed in the same millisecond.
-CRAMPED_WAIT_S = 0.25
-# A claim is tried again after this, if the shard is still free: three claims'
-# usual time, few calls while the store is down.
-CLAIM_AGAIN_S = 0.3
-# A claim younger than this is not doubted: its holder may be silent for seconds
-# while it takes a thousand endpoints over, and each further change of holder
-# begins that work anew. Twice as long for each change just before, up to 24 s.
-DOUBTED_MIN_S = 3.0
-DOUBTED_MAX_DOUBLINGS = 3
-# Changes of holder that follow each other sooner count as a series.
-SERIES_S = 30.0
-# A host that is stopping claims only what nobody else takes.
-DRAINING_PATIENCE_S = 0.6
-# A holder that is heard from renews its own lost claim in this time; the
-# others leave it alone meanwhile. A store that turns it away for longer
-# leaves its shard without a claim, but not without a holder.
-HOLDER_PATIENCE_S = 1.0
-# A host that says it holds nothing may only not have heard yet that its claim
-# was made: a store's answer and a watch differ by some 10 ms.
+# CPU that the holder of a data centre needs under peak load: some 180 jobs per
+# second with 3.6 tasks each, at 1.5 ms per task on the holder's side.
+HOLDER_CORES = 1.0
+# Extra delay before the claim of a host without any CPU; other hosts wait in
+# proportion to what they lack of `HOLDER_CORES`. A host with 0.516 cores waits
+# 121 ms: by then a host with enough CPU has claimed the shard (50 ms of
+# stagger, a 20 ms tick and 6 ms in the store) and its claim is known (10 to 40
+# ms on a busy host). With 48 ms both claimed in the same millisecond.
+LOW_CPU_DELAY_S = 0.25
+# Interval at which a claim is retried while the shard is free: three times what
+# a claim usually takes, and few calls while the store is down.
+CLAIM_RETRY_S = 0.3
+# Minimum age of a claim before its holder may be suspected: a holder may be
+# silent for seconds while it takes over a thousand endpoints, and each further
+# change of holder restarts that work. The age doubles with each recent change,
+# up to 24 s.
+MIN_SUSPECT_AGE_S = 3.0
+MAX_SUSPECT_AGE_DOUBLINGS = 3
+# Changes of holder that follow each other within this time count as flapping.
+FLAPPING_WINDOW_S = 30.0
+# Extra delay of a draining host, so that it claims only shards that no other
+# host claims.
+DRAINING_DELAY_S = 0.6
+# Extra delay of other hosts while the last holder is alive, in which it renews
+# its own lost claim. A store that rejects it for longer leaves the shard
+# without a claim, but not without a holder.
+LIVE_HOLDER_DELAY_S = 1.0
+# Grace period for a host that reports that it doesn't hold the shard: it may
+# not know yet that its claim was written, since the store's answer and the
+# watch differ by some 10 ms.
 NOT_HOLDING_GRACE_S = 0.1
-# A host that has not seen any holder since it started leaves a shard free for
-# this long: its holder may live, and only its claim be gone with a store that
-# was away. Such a holder claims its shard again within 20 ms of the store's.
-NEWCOMER_PATIENCE_S = 0.3
+# Extra delay of a host that has not seen any holder since it started: the
+# holder may be alive and only its claim have expired while the store was
+# unavailable. Such a holder claims its shard again within 20 ms of the store's
+# return.
+NO_HOLDER_SEEN_DELAY_S = 0.3
 
 
 class Candidate:
-  """This host's part in the election of one shard's holder."""
+  """This host's state in the election of one shard's holder.
+
+  Attributes:
+    shard: the shard.
+    holder: the holder that the store names, if any.
+    unreadable_revision: the revision of a claim that names no holder, which a
+      new claim replaces; 0 if there is no such claim.
+    free_since: since when the shard may be claimed (s); None while it is held.
+    holder_stale: whether `holder` is known not to hold the shard any more.
+    claiming_since: when the claim under way was sent (s), if any.
+    last_claim_at: when the last claim was answered (s).
+    stepped_down_fence: the fence number with which this host last stepped down.
+    holder_changed_at: when the holder last changed (s).
+    recent_changes: how many changes of holder preceded that one in a row, each
+      within `FLAPPING_WINDOW_S` of the one before.
+    yield_until: until when this host leaves the shard to others (s).
+    store_read: whether the store's claim was read since this host started.
+    last_fence: the fence number of the last holder known.
+    no_holder_seen: whether no holder was seen since this host started.
+  """
 
-  def __init__(self, shard: model.Shard, host: str, cores: float = ROOMY_CORES):
+  def __init__(
+      self, shard: model.Shard, host: str, cores: float = HOLDER_CORES
+  ):
     self.shard = shard
     self.holder: model.Holder | None = None
-    # The revision of a claim that names no holder; a claim replaces it.
-    self.blank = 0
+    self.unreadable_revision = 0
     self.free_since: float | None = 0.0
-    self.gone = False
+    self.holder_stale = False
     self.claiming_since: float | None = None
-    self.claimed_at = -CLAIM_AGAIN_S
-    self.stood_down_from = 0
-    # When the holder last changed, and how many changes came just before.
-    self.changed_at = -SERIES_S
-    self.changes = 0
-    # Until when this host leaves the shard to others (s).
-    self.yields_until = 0.0
-    self.seen_store = False
-    # The fence number of the last holder known.
+    self.last_claim_at = -CLAIM_RETRY_S
+    self.stepped_down_fence = 0
+    self.holder_changed_at = -FLAPPING_WINDOW_S
+    self.recent_changes = 0
+    self.yield_until = 0.0
+    self.store_read = False
     self.last_fence = 0
-    # True until a holder was seen.
-    self.newcomer = True
-    spread = zlib.crc32(f"{host}/{shard.data_centre}/{shard.number}".encode())
-    self._stagger_s = STAGGER_S * (spread % 1000) / 1000
-    lacking = max(0.0, 1.0 - cores / ROOMY_CORES)
-    self._stagger_s += CRAMPED_WAIT_S * lacking
-
-  def delay_s(self, held_by_me: bool, draining: bool, heard: bool) -> float:
-    """Returns how long the shard must have been free for a claim."""
-    if held_by_me:
+    self.no_holder_seen = True
+    host_hash = zlib.crc32(
+        f"{host}/{shard.data_centre}/{shard.number}".encode()
+    )
+    self._stagger_s = STAGGER_S * (host_hash % 1000) / 1000
+    missing_cores = max(0.0, 1.0 - cores / HOLDER_CORES)
+    self._stagger_s += LOW_CPU_DELAY_S * missing_cores
+
+  def delay_s(
+      self, is_owner: bool, draining: bool, holder_alive: bool
+  ) -> float:
+    """Returns how long the shard must have been free before a claim.
+
+    Args:
+      is_owner: whether this host serves as the shard's holder.
+      draining: whether this host is draining.
+      holder_alive: whether another host, the last holder, is still alive.
+    """
+    if is_owner:
       return 0.0
     delay = self._stagger_s
-    if self.newcomer:
-      delay += NEWCOMER_PATIENCE_S
+    if self.no_holder_seen:
+      delay += NO_HOLDER_SEEN_DELAY_S
     if draining:
-      delay += DRAINING_PATIENCE_S
-    if heard:
-      delay += HOLDER_PATIENCE_S
+      delay += DRAINING_DELAY_S
+    if holder_alive:
+      delay += LIVE_HOLDER_DELAY_S
     return delay
 
 
-def holder_changed(
+def handle_holder_change(
     candidate: Candidate,
     holder: model.Holder | None,
     now: float,
-    blank: int = 0,
+    unreadable_revision: int = 0,
 ):
-  """Takes what the store says of the shard's claim."""
-  candidate.blank = blank
-  first = not candidate.seen_store
-  candidate.seen_store = True
+  """Handles the state of the shard's claim as read from the store."""
+  candidate.unreadable_revision = unreadable_revision
+  is_first_read = not candidate.store_read
+  candidate.store_read = True
   if holder is None:
-    if first or candidate.free_since is None or candidate.holder is not None:
+    if (
+        is_first_read
+        or candidate.free_since is None
+        or candidate.holder is not None
+    ):
       candidate.free_since = now
     candidate.holder = None
     return
   if candidate.holder and candidate.holder.fence >= holder.fence:
     return
-  series = now - candidate.changed_at < SERIES_S
-  candidate.changes = candidate.changes + 1 if series else 0
-  candidate.changed_at = now
+  is_flapping = now - candidate.holder_changed_at < FLAPPING_WINDOW_S
+  candidate.recent_changes = candidate.recent_changes + 1 if is_flapping else 0
+  candidate.holder_changed_at = now
   candidate.holder = holder
   candidate.last_fence = max(candidate.last_fence, holder.fence)
-  candidate.newcomer = False
-  candidate.gone = False
+  candidate.no_holder_seen = False
+  candidate.holder_stale = False
   candidate.free_since = None
 
 
-def holder_gone(candidate: Candidate, now: float, grace_s: float = 0.0):
-  """Notes that the process that the store names as holder isn't one any more.
+def mark_holder_stale(candidate: Candidate, now: float, grace_s: float = 0.0):
+  """Marks the holder named in the store as stale, so that it is replaced.
 
   Args:
-    candidate: this host's part in the election.
-    now: the time (s).
-    grace_s: how long to leave it the shard all the same.
+    candidate: this host's state in the election.
+    now: the current time (s).
+    grace_s: how long the holder keeps the shard nevertheless.
   """
-  if candidate.holder is not None and not candidate.gone:
-    candidate.gone = True
+  if candidate.holder is not None and not candidate.holder_stale:
+    candidate.holder_stale = True
     candidate.free_since = now + grace_s
 
 
-def may_doubt(candidate: Candidate, now: float) -> bool:
-  """Returns whether the holder has had the time to be heard from."""
-  doublings = min(candidate.changes, DOUBTED_MAX_DOUBLINGS)
-  return now - candidate.changed_at >= DOUBTED_MIN_S * 2**doublings
+def may_suspect(candidate: Candidate, now: float) -> bool:
+  """Returns whether the claim is old enough for its holder to be suspected."""
+  doublings = min(candidate.recent_changes, MAX_SUSPECT_AGE_DOUBLINGS)
+  return now - candidate.holder_changed_at >= MIN_SUSPECT_AGE_S * 2**doublings
 
 
-def holder_present(candidate: Candidate):
-  """Notes that the holder was heard from: nothing to claim."""
-  if candidate.gone and candidate.claiming_since is None:
-    candidate.gone = False
+def mark_holder_alive(candidate: Candidate):
+  """Marks a holder that answered as alive, unless a claim is under way."""
+  if candidate.holder_stale and candidate.claiming_since is None:
+    candidate.holder_stale = False
     candidate.free_since = None
 
 
 def decide(
     candidate: Candidate,
     now: float,
-    held_by_me: bool,
+    is_owner: bool,
     draining: bool,
-    heard: bool,
+    holder_alive: bool,
 ) -> events.ClaimShard | None:
   """Returns the claim to make now, if any.
 
   Args:
-    candidate: this host's part in the election.
-    now: the time (s).
-    held_by_me: whether this host serves as holder now.
-    draining: whether this host is stopping.
-    heard: whether the shard's last holder is still heard from.
+    candidate: this host's state in the election.
+    now: the current time (s).
+    is_owner: whether this host serves as the shard's holder.
+    draining: whether this host is draining.
+    holder_alive: whether another host, the last holder, is still alive.
   """
-  if not candidate.seen_store or candidate.free_since is None:
+  if not candidate.store_read or candidate.free_since is None:
     return None
-  if candidate.claiming_since is not None or now < candidate.yields_until:
+  if candidate.claiming_since is not None or now < candidate.yield_until:
     return None
-  if now - candidate.claimed_at < CLAIM_AGAIN_S:
+  if now - candidate.last_claim_at < CLAIM_RETRY_S:
     return None
   if now - candidate.free_since < candidate.delay_s(
-      held_by_me, draining, heard
+      is_owner, draining, holder_alive
   ):
     return None
   candidate.claiming_since = now
-  replaces = candidate.holder.fence if candidate.holder else candidate.blank
+  replaces = (
+      candidate.holder.fence
+      if candidate.holder
+      else candidate.unreadable_revision
+  )
   return events.ClaimShard(candidate.shard, replaces, candidate.last_fence)
 
 
-def claim_answered(candidate: Candidate, now: float):
-  """A claim ended, one way or the other; the watch tells which."""
+def handle_claim_answer(candidate: Candidate, now: float):
+  """Handles the end of a claim; the watch reports whether it succeeded."""
   candidate.claiming_since = None
-  candidate.claimed_at = now
+  candidate.last_claim_at = now
--- a/fescueturn/scheduler/evacuation.py
+++ b/fescueturn/scheduler/evacuation.py
@@ -1,7 +1,7 @@
-"""Data centres that the operator has evacuated: nothing new starts there.
+"""Data centres that the operator has evacuated: no new task starts there.
 
-What runs there may end there. A job that has tasks left to start is handed back
-to its coordinator, which has it run in another data centre.
+Running tasks may finish there. A job with tasks left to start is handed back to
+its coordinator, which runs it in another data centre.
 """
 
 import dataclasses
@@ -9,35 +9,40 @@
 from fescueturn.scheduler import events
 from fescueturn.scheduler import model
 
-# Jobs that were moved are looked for until so long after the last request ended:
-# a move that a slow store carries out late is found as well.
-LATE_S = 10.0
+# How long after the last evacuation ended holders still look for jobs that were
+# moved to them, so that a move which a slow store completes late is found.
+RECENT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
 class _Evacuation:
-  """A request in force: the store's revision of it, and since when (s)."""
+  """An evacuation request in force.
+
+  Attributes:
+    revision: the request's revision in the store.
+    since: when this host first read it (s).
+  """
 
   revision: int
   since: float
 
 
 class Evacuations:
-  """What this host knows of the operator's requests.
+  """The operator's evacuation requests, as this host last read them.
 
   Attributes:
-    known: False until they were read once. A host that doesn't know yet starts
-      nothing: a request may be there since before it began.
+    loaded: False until the requests were read once. Until then a host starts no
+      task, since a request may be older than its process.
   """
 
-  def __init__(self, known: bool = False):
-    self.known = known
+  def __init__(self, loaded: bool = False):
+    self.loaded = loaded
     self._in_force: dict[str, _Evacuation] = {}
-    self._ended_at = -LATE_S
+    self._ended_at = -RECENT_S
 
-  def any_of_late(self, now: float) -> bool:
-    """Returns whether a data centre is evacuated, or was a moment ago."""
-    return bool(self._in_force) or now < self._ended_at + LATE_S
+  def any_recent(self, now: float) -> bool:
+    """Returns whether a data centre is evacuated or was within `RECENT_S`."""
+    return bool(self._in_force) or now < self._ended_at + RECENT_S
 
   def evacuated(self, data_centre: str) -> bool:
     """Returns whether a data centre is known to be evacuated."""
@@ -45,30 +50,38 @@
 
   def may_start(self, data_centre: str) -> bool:
     """Returns whether tasks may start in a data centre."""
-    return self.known and not self.evacuated(data_centre)
+    return self.loaded and not self.evacuated(data_centre)
 
-  def take(
-      self, wanted: tuple[model.Evacuation, ...], now: float
+  def update(
+      self, requests: tuple[model.Evacuation, ...], now: float
   ) -> list[events.Log]:
-    """Takes all requests in force; returns a line for each that changed."""
-    before, self._in_force = self._in_force, {}
-    self.known = True
-    lines = []
-    for request in wanted:
+    """Replaces the requests by those now in force.
+
+    Args:
+      requests: all requests in force.
+      now: the current time (s).
+
+    Returns:
+      A log line for each evacuation that began or ended.
+    """
+    previous, self._in_force = self._in_force, {}
+    self.loaded = True
+    log_lines = []
+    for request in requests:
       name = request.data_centre
-      if name in before:
-        self._in_force[name] = before.pop(name)
+      if name in previous:
+        self._in_force[name] = previous.pop(name)
         continue
       self._in_force[name] = _Evacuation(request.revision, now)
-      lines.append(
+      log_lines.append(
           events.log(
               "evacuation_began", data_centre=name, revision=request.revision
           )
       )
-    if before:
+    if previous:
       self._ended_at = now
-    for name, ended in before.items():
-      lines.append(
+    for name, ended in previous.items():
+      log_lines.append(
           events.log(
               "evacuation_ended",
               data_centre=name,
@@ -76,12 +89,12 @@
               after_s=round(now - ended.since, 3),
           )
       )
-    return lines
+    return log_lines
 
   def snapshot(self, now: float) -> dict:
     """Returns a JSON-ready dump."""
     return {
-        "known": self.known,
+        "known": self.loaded,
         "data_centres": {
             name: {
                 "revision": request.revision,
--- a/fescueturn/scheduler/handover.py
+++ b/fescueturn/scheduler/handover.py
@@ -1,39 +1,41 @@
-"""A holder that lacks processor hands its shard to a host that can carry it.
+"""Planned handover of a shard from a holder with too little CPU.
 
-A data centre whose holder had half a core answered jobs of 200 ms in 225 to
-310 ms in the median, others in 170 to 200. The handover is the planned one,
-some 100 ms, in which running tasks go on.
+With a holder that had half a core, a data centre answered jobs of 200 ms in a
+median of 225 to 310 ms; others took 170 to 200 ms. The handover takes some
+100 ms, during which running tasks continue.
 """
 
 from fescueturn.scheduler import election
 from fescueturn.scheduler import ownerstate
 
-# The work of taking over is done by then, and a host that starts and stops again
-# and again doesn't have the shard move each time.
-HELD_MIN_S = 3.0
-# The other host was heard from within three of its pings, so it is up now.
-HEARD_S = 0.3
-# The list of endpoints was read at one of the last two times, so the store takes
-# the claim's release, and the other host's claim.
-STORE_S = 1.5
-# The host that releases a claim leaves the shard to others for as long; if the
-# store didn't take the release, the host tries again then.
+# Minimum time for which a host keeps a shard. The takeover is complete by then,
+# and a host that restarts repeatedly doesn't move the shard each time.
+MIN_TENURE_S = 3.0
+# Maximum age of the successor's last ping: three ping periods, so it is up now.
+SUCCESSOR_TIMEOUT_S = 0.3
+# Maximum age of the list of endpoints: one of its last two reads succeeded, so
+# the store is reachable for the release of the claim and the successor's claim.
+MAX_LIST_AGE_S = 1.5
+# How long the releasing host doesn't claim the shard itself. If the store
+# missed the release, the host retries it after this time.
 YIELD_S = 1.0
 
 
-def due(owner: ownerstate.Owner, cores: float) -> bool:
-  """Returns whether the shard should go to a roomier host now.
+def should_hand_over(owner: ownerstate.Owner, cores: float) -> bool:
+  """Returns whether the shard should move to a host with more CPU now.
 
   Args:
     owner: the shard's owner.
-    cores: how much processor this host has, in cores of the usual speed.
+    cores: the CPU of this host, in cores of the usual speed.
   """
-  if cores >= election.ROOMY_CORES or not owner.settled:
+  if cores >= election.HOLDER_CORES or not owner.recovered:
     return False
-  if owner.now - owner.taken_at < HELD_MIN_S:
+  if owner.now - owner.taken_at < MIN_TENURE_S:
     return False
-  if owner.listed_at is None or owner.now - owner.listed_at > STORE_S:
+  if owner.listed_at is None or owner.now - owner.listed_at > MAX_LIST_AGE_S:
     return False
-  if owner.keeper.busy:
+  if owner.kept_records.has_unsaved_changes:
     return False
-  return any(owner.now - at < HEARD_S for at in owner.successors.values())
+  return any(
+      owner.now - at < SUCCESSOR_TIMEOUT_S for at in owner.successors.values()
+  )
--- a/fescueturn/scheduler/host.py
+++ b/fescueturn/scheduler/host.py
@@ -1,8 +1,9 @@
-"""A host's scheduler at work: the I/O shell around `reducer`.
+"""A host's scheduler: the I/O shell around `reducer`.
 
-It turns messages, answers and the timer's ticks into events, feeds them to
-the reducer one at a time and carries out the effects. What it needs of the
-outside world comes in as `Ports`, so that an adapter or a stand-in can serve.
+It turns messages, answers and the timer's ticks into events, passes them to
+the reducer one at a time and executes the effects. It reaches the outside
+world only through `Ports`, which a platform adapter or a test double
+implements.
 """
 
 import collections
@@ -25,31 +26,33 @@
 from fescueturn.scheduler import reducer
 from fescueturn.scheduler import state as state_lib
 
-# How often the scheduler's timer ticks (s): what waits for a time is late by
-# half of this, against waits of 60 ms and more.
+# Tick period of the scheduler's timer (s): time-outs, which are 60 ms and more,
+# are late by half of it on average.
 TICK_S = 0.02
-# Ticks of a host that holds nothing and has no job that waits for a time soon:
-# it pings and looks for free shards. An idle host of this period takes 1.1% of a
-# core, one that ticks every 20 ms 2.2% (20 s each, on loopback).
+# Tick period of a host that owns no shard and has no job with a time-out soon:
+# it only pings holders and looks for free shards. An idle host uses 1.1% of a
+# core with this period and 2.2% with one of 20 ms.
 IDLE_TICK_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
 class Ports:
-  """What a host's scheduler calls in the outside world.
+  """The calls of a host's scheduler to the outside world.
 
   Attributes:
-    start: carries out a `StartRun`.
-    stop: carries out a `StopRun`.
-    renew: carries out a `RenewLease`.
-    claim: carries out a `ClaimShard`; returns the change of holder, or None if
-      this host isn't the holder, or can't tell (the claims' watch will).
-    release: carries out a `ReleaseShard`.
-    owning: told whether this host owns a shard, whenever that changes.
-    load_kept: carries out a `LoadKept`.
-    write_kept: carries out a `WriteKept`.
-    list_ended: carries out a `ListEnded`.
-    list_open: carries out a `ListOpen`.
+    start: executes a `StartRun`.
+    stop: executes a `StopRun`.
+    renew: executes a `RenewLease`.
+    claim: executes a `ClaimShard`; returns the change of holder, or None if
+      this host isn't the holder or the outcome is unknown (the watch on the
+      claims reports it).
+    release: executes a `ReleaseShard`.
+    on_ownership_change: called with whether this host owns a shard, whenever
+      that changes.
+    load_kept: executes a `LoadKeptJobs`.
+    write_kept: executes a `WriteKeptJobs`.
+    list_ended: executes a `ListEndedJobs`.
+    list_open: executes a `ListOpenJobs`.
   """
 
   start: Callable[[events.StartRun], Awaitable[events.StartAnswered]]
@@ -57,19 +60,23 @@
   renew: Callable[[events.RenewLease], Awaitable[events.LeaseAnswered]]
   claim: Callable[[events.ClaimShard], Awaitable[events.HolderChanged | None]]
   release: Callable[[events.ReleaseShard], Awaitable[None]]
-  owning: Callable[[bool], Awaitable[None]]
-  load_kept: Callable[[keptevents.LoadKept], Awaitable[keptevents.KeptLoaded]]
+  on_ownership_change: Callable[[bool], Awaitable[None]]
+  load_kept: Callable[
+      [keptevents.LoadKeptJobs], Awaitable[keptevents.KeptJobsLoaded]
+  ]
   write_kept: Callable[
-      [keptevents.WriteKept], Awaitable[keptevents.KeptWritten]
+      [keptevents.WriteKeptJobs], Awaitable[keptevents.KeptJobsWritten]
   ]
   list_ended: Callable[
-      [keptevents.ListEnded], Awaitable[keptevents.EndedListed]
+      [keptevents.ListEndedJobs], Awaitable[keptevents.EndedJobsListed]
+  ]
+  list_open: Callable[
+      [keptevents.ListOpenJobs], Awaitable[keptevents.OpenJobsListed]
   ]
-  list_open: Callable[[keptevents.ListOpen], Awaitable[keptevents.OpenListed]]
 
 
 class _Waiter:
-  """A caller's request that waits for its answer."""
+  """A caller's request that waits for an answer."""
 
   def __init__(self):
     self.done = curio.Event()
@@ -77,11 +84,14 @@
 
 
 class SchedulerHost:
-  """One host's scheduler; `start` serves, `drain` ends, `close` cleans up."""
+  """One host's scheduler.
+
+  Its life cycle is `start`, `drain`, `finish_drain` and `close`.
+  """
 
   def __init__(
       self,
-      me: state_lib.Identity,
+      me: state_lib.HostIdentity,
       link_address: settings.Address,
       ports: Ports,
       clock: timer.TimerService,
@@ -89,133 +99,137 @@
     self._state = state_lib.HostState(me)
     self._ports = ports
     self._timer = clock
-    self._server = link.LinkServer(link_address, self._from_coordinator)
+    self._server = link.LinkServer(link_address, self._on_coordinator_message)
     self._links: dict[settings.Address, link.Link] = {}
     self._waiters: dict[int, _Waiter] = {}
     self._next_request = 1
-    self._owning = False
+    self._owns_shard = False
     self._effects: collections.deque[events.Effect] = collections.deque()
-    self._carrying = False
+    self._executing = False
     self._failed = False
-    self._carry = {
-        events.StartRun: self._spawn(ports.start),
-        events.StopRun: self._spawn(ports.stop),
-        events.RenewLease: self._spawn(ports.renew),
-        events.TellHolder: self._tell_holder,
-        events.TellCoordinator: self._tell_coordinator,
+    self._effect_handlers = {
+        events.StartRun: self._in_background(ports.start),
+        events.StopRun: self._in_background(ports.stop),
+        events.RenewLease: self._in_background(ports.renew),
+        events.SendToHolder: self._send_to_holder,
+        events.SendToCoordinator: self._send_to_coordinator,
         events.Answer: self._answer,
         events.ClaimShard: self._claim,
         events.ReleaseShard: self._release,
         events.Log: write_log,
-        keptevents.LoadKept: self._spawn(ports.load_kept),
-        keptevents.WriteKept: self._spawn(ports.write_kept),
-        keptevents.ListEnded: self._spawn(ports.list_ended),
-        keptevents.ListOpen: self._spawn(ports.list_open),
+        keptevents.LoadKeptJobs: self._in_background(ports.load_kept),
+        keptevents.WriteKeptJobs: self._in_background(ports.write_kept),
+        keptevents.ListEndedJobs: self._in_background(ports.list_ended),
+        keptevents.ListOpenJobs: self._in_background(ports.list_open),
     }
 
   @property
   def state(self) -> state_lib.HostState:
-    """The reducer's state (read it; never change it from outside)."""
+    """The reducer's state; read-only for callers."""
     return self._state
 
   @property
   def failed(self) -> bool:
-    """True once a decision failed by a fault of ours; the process must end."""
+    """True once the reducer raised an exception; the process must exit."""
     return self._failed
 
   @property
   def tick_period_s(self) -> float:
-    """Seconds between ticks now."""
+    """The current tick period (s)."""
     return self._timer.period_s
 
   async def start(self):
-    """Listens for other hosts and begins to tick."""
+    """Starts to listen for other hosts and to tick."""
     await self._server.start()
     self._timer.subscribe(self._tick)
 
   async def apply(self, event: events.Event):
-    """Runs one event through the reducer and carries out its effects."""
+    """Passes one event to the reducer and executes its effects."""
     try:
       effects = reducer.reduce(self._state, event, self._timer.now())
     except Exception:
-      # The state may be half changed: nothing that it says can be relied on.
+      # The state may be partly changed, so that nothing in it can be trusted.
       self._failed = True
-      where = traceback.format_exc().replace("\n", " | ")
+      stack = traceback.format_exc().replace("\n", " | ")
       logger.error(
           "event=reducer_failed input={} error={}",
           type(event).__name__,
-          json.dumps(where),
+          json.dumps(stack),
       )
       raise
     self._effects += effects
-    if self._carrying:
-      return  # Whoever carries out effects now carries out these as well.
-    self._carrying = True
-    # A task that is cancelled here would leave other tasks' effects undone.
+    if self._executing:
+      return  # The task that executes effects now executes these as well.
+    self._executing = True
+    # If this task were cancelled here, other tasks' effects would be lost.
     async with curio.disable_cancellation():
       try:
         while self._effects:
           effect = self._effects.popleft()
-          await self._carry[type(effect)](effect)
+          await self._effect_handlers[type(effect)](effect)
       finally:
-        self._carrying = False
-    await self._note_owning()
-    period_s = TICK_S if self._state.busy else IDLE_TICK_S
+        self._executing = False
+    await self._report_ownership()
+    period_s = TICK_S if self._state.needs_fast_ticks else IDLE_TICK_S
     if self._timer.period_s != period_s:
       await self._timer.set_period(period_s)
 
-  async def _note_owning(self):
-    if self._owning != bool(self._state.owners):
-      self._owning = not self._owning
-      await self._ports.owning(self._owning)
+  async def _report_ownership(self):
+    if self._owns_shard != bool(self._state.owners):
+      self._owns_shard = not self._owns_shard
+      await self._ports.on_ownership_change(self._owns_shard)
 
   async def submit(
-      self, job: model.Job, deadline_s: float, trace: str = ""
+      self, job: model.Job, deadline_s: float, trace_id: str = ""
   ) -> events.Answer:
     """Runs a job and returns its answer.
 
-    Cancelling the task that waits here gives the job up: its caller is gone.
+    Cancelling the awaiting task abandons the job: its caller has disconnected.
 
     Args:
       job: what to run.
       deadline_s: how long the caller waits, in seconds from now.
-      trace: the caller's own id for the request.
+      trace_id: the caller's own id for the request.
     """
-    return await self._ask(
-        lambda i: events.JobArrived(i, job, deadline_s, trace)
+    return await self._request(
+        lambda i: events.JobArrived(i, job, deadline_s, trace_id)
     )
 
-  async def ask_kept(
+  async def query_kept_job(
       self,
       job_id: str,
       shard: model.Shard,
       cancel: bool,
       deadline_s: float,
-      trace: str = "",
+      trace_id: str = "",
   ) -> events.Answer:
-    """Asks a kept job's holder for its state, or to cancel it.
+    """Queries a kept job's holder for the job's state, or has it cancelled.
 
     Args:
       job_id: the job.
-      shard: whose holder has it.
-      cancel: True to cancel it.
+      shard: the job's shard.
+      cancel: True to cancel the job.
       deadline_s: how long the caller waits, in seconds from now.
-      trace: the caller's own id for the request.
+      trace_id: the caller's own id for the request.
 
     Returns:
-      An answer of KEPT (the job goes on), DONE, FAILED, CANCELLED, or UNKNOWN
-      if the holder didn't say, or doesn't know the job.
+      An answer of KEPT (the job is still open), DONE, FAILED, CANCELLED, or
+      UNKNOWN if the holder didn't reply or doesn't know the job.
     """
-    return await self._ask(
-        lambda i: keptevents.QuestionArrived(
-            i, job_id, shard, cancel, deadline_s, trace
+    return await self._request(
+        lambda i: keptevents.KeptJobQueryArrived(
+            i, job_id, shard, cancel, deadline_s, trace_id
         )
     )
 
-  async def _ask(
+  async def _request(
       self, make_event: Callable[[int], events.Event]
   ) -> events.Answer:
-    """Applies a request's event, given its number; returns its answer."""
+    """Applies the event of a new request and waits for the answer.
+
+    Args:
+      make_event: makes the event, given the request's number.
+    """
     request_id = self._next_request
     self._next_request += 1
     waiter = self._waiters[request_id] = _Waiter()
@@ -234,11 +248,11 @@
     await self.apply(events.JobCancelled(job_id))
 
   async def drain(self):
-    """Begins a planned stop: owned shards are given up at once."""
+    """Starts a planned stop: gives up owned shards at once."""
     await self.apply(events.DrainStarted())
 
-  async def end(self):
-    """Ends a planned stop: whoever still waits is answered now."""
+  async def finish_drain(self):
+    """Ends a planned stop: answers every caller that still waits."""
     await self.apply(events.ProcessEnding())
 
   async def close(self):
@@ -258,20 +272,20 @@
     del now
     await self.apply(events.Tick())
 
-  def _spawn(self, call):
+  def _in_background(self, call):
     async def run(effect):
       await self.apply(await call(effect))
 
-    async def carry(effect):
+    async def execute(effect):
       await curio.spawn(run, effect, daemon=True)
 
-    return carry
+    return execute
 
   async def _claim(self, effect: events.ClaimShard):
     async def run():
-      won = await self._ports.claim(effect)
-      if won is not None:
-        await self.apply(won)
+      holder_change = await self._ports.claim(effect)
+      if holder_change is not None:
+        await self.apply(holder_change)
       await self.apply(events.ClaimAnswered(effect.shard))
 
     await curio.spawn(run, daemon=True)
@@ -285,9 +299,9 @@
       waiter.answer = effect
       await waiter.done.set()
 
-  async def _tell_holder(self, effect: events.TellHolder):
+  async def _send_to_holder(self, effect: events.SendToHolder):
     holder = effect.holder
-    if holder.boot == self._state.me.party.boot:
+    if holder.boot == self._state.me.process.boot:
       await self.apply(effect.message)
       return
     peer = self._links.get(holder.peer)
@@ -297,43 +311,51 @@
 
   def _new_link(self, holder: model.Holder) -> link.Link:
     async def on_message(shard, message):
-      await self.apply(events.Heard(shard, self._party_at(holder), message))
+      await self.apply(
+          events.HolderMessageReceived(shard, self._process_at(holder), message)
+      )
 
     async def on_lost(refused: bool):
       for shard, record in list(self._state.coordinator.holders.items()):
         if record.holder.peer == holder.peer:
-          await self.apply(events.LinkLost(shard, record.party, refused))
+          await self.apply(events.LinkLost(shard, record.process, refused))
 
     return link.Link(
-        holder.peer, self._state.me.party, self._timer.now, on_message, on_lost
+        holder.peer,
+        self._state.me.process,
+        self._timer.now,
+        on_message,
+        on_lost,
     )
 
-  def _party_at(self, holder: model.Holder) -> linkmessages.Party:
-    """Returns which process the holder's address is known to belong to."""
+  def _process_at(self, holder: model.Holder) -> linkmessages.HostProcess:
+    """Returns the process that is known to listen at the holder's address."""
     for record in self._state.coordinator.holders.values():
       if record.holder.peer == holder.peer:
-        return record.party
-    return linkmessages.Party(holder.host, holder.boot)
+        return record.process
+    return linkmessages.HostProcess(holder.host, holder.boot)
 
-  async def _tell_coordinator(self, effect: events.TellCoordinator):
-    if effect.party == self._state.me.party:
+  async def _send_to_coordinator(self, effect: events.SendToCoordinator):
+    if effect.process == self._state.me.process:
       await self.apply(
-          events.Heard(effect.shard, self._state.me.party, effect.message)
+          events.HolderMessageReceived(
+              effect.shard, self._state.me.process, effect.message
+          )
       )
       return
-    await self._server.send(effect.party, effect.shard, effect.message)
+    await self._server.send(effect.process, effect.shard, effect.message)
 
-  async def _from_coordinator(self, party, shard, message):
-    del party, shard
+  async def _on_coordinator_message(self, process, shard, message):
+    del process, shard
     await self.apply(message)
 
 
 async def write_log(effect: events.Log):
-  """Writes one line of key=value pairs."""
-  fields = " ".join(f"{k}={_plain(v)}" for k, v in effect.fields)
+  """Writes a log line of key=value pairs."""
+  fields = " ".join(f"{k}={_quoted(v)}" for k, v in effect.fields)
   logger.info("event={} {}", effect.event, fields)
 
 
-def _plain(value) -> str:
+def _quoted(value) -> str:
   text = str(value)
   return json.dumps(text) if " " in text or not text else text
--- /dev/null
+++ b/fescueturn/scheduler/jobqueries.py
@@ -0,0 +1,117 @@
+"""A coordinator's queries to holders: state and cancellation of kept jobs.
+
+The store names the shard of a kept job and records the job's state, but the
+holder learns of a change a little earlier. The coordinator therefore asks the
+holder whether a job that is open in the store has ended, or to cancel it. The
+holder replies once the state is stored.
+"""
+
+from fescueturn.scheduler import coordinatorstate
+from fescueturn.scheduler import events
+from fescueturn.scheduler import keptevents
+from fescueturn.scheduler import model
+
+# Interval at which an unanswered query is retried, at the holder or its
+# successor: a write to the store takes some 25 ms, a takeover 0.2 s.
+RETRY_S = 0.3
+# A caller that only asks for a job's state gets the stored state after this
+# time, which is longer than it takes to store that a job has ended.
+STATE_QUERY_TIMEOUT_S = 0.25
+
+_OUTCOMES = {
+    model.KeptJobState.OPEN: model.Outcome.KEPT,
+    model.KeptJobState.DONE: model.Outcome.DONE,
+    model.KeptJobState.FAILED: model.Outcome.FAILED,
+    model.KeptJobState.CANCELLED: model.Outcome.CANCELLED,
+}
+
+
+def handle_query(
+    state: coordinatorstate.Coordinator, event: keptevents.KeptJobQueryArrived
+):
+  """Handles a caller's query: sends it to the shard's holder."""
+  key = (event.job_id, event.cancel)
+  query = state.queries.get(key)
+  if query is None:
+    query = coordinatorstate.JobQuery(event.job_id, event.shard, event.cancel)
+    state.queries[key] = query
+  timeout_s = event.deadline_s
+  if not event.cancel:
+    timeout_s = min(timeout_s, STATE_QUERY_TIMEOUT_S)
+  query.requests[event.request_id] = state.now + timeout_s
+  if event.cancel:
+    state.emit(
+        events.log(
+            "cancel_asked",
+            job=event.job_id,
+            request=event.trace_id,
+            data_centre=event.shard.data_centre,
+        )
+    )
+  _send(state, query)
+
+
+def _send(state, query: coordinatorstate.JobQuery):
+  holder = state.holders.get(query.shard)
+  if holder is None or holder.lost:
+    return
+  query.last_sent_at = state.now
+  request = keptevents.KeptJobQuery(
+      query.shard, state.me, query.job_id, query.cancel
+  )
+  state.send_to_holder(query.shard, request)
+
+
+def handle_state_report(
+    state: coordinatorstate.Coordinator, message: keptevents.KeptJobReply
+):
+  """Handles a holder's reply: answers the callers that wait for it."""
+  query = state.queries.pop((message.job_id, message.cancel), None)
+  if query is None:
+    return
+  outcome = model.Outcome.UNKNOWN
+  if message.state is not None:
+    outcome = _OUTCOMES[message.state]
+  for request_id in query.requests:
+    _answer(state, query, request_id, outcome, "told")
+
+
+def tick(state: coordinatorstate.Coordinator):
+  """Retries queries, and drops those that no caller waits for any more."""
+  for key, query in list(state.queries.items()):
+    expired = [i for i, end in query.requests.items() if end <= state.now]
+    for request_id in expired:
+      del query.requests[request_id]
+      _answer(state, query, request_id, model.Outcome.UNKNOWN, "deadline")
+    if not query.requests:
+      del state.queries[key]
+    elif state.now - query.last_sent_at > RETRY_S:
+      _send(state, query)
+
+
+def abort_all(state: coordinatorstate.Coordinator):
+  """Answers every caller that still waits, since the process is stopping."""
+  for query in state.queries.values():
+    for request_id in query.requests:
+      _answer(state, query, request_id, model.Outcome.UNKNOWN, "stopping")
+  state.queries.clear()
+
+
+def _answer(
+    state,
+    query: coordinatorstate.JobQuery,
+    request_id: int,
+    outcome: model.Outcome,
+    cause: str,
+):
+  state.emit(events.Answer(request_id, outcome, reason=cause))
+  if query.cancel:
+    state.emit(
+        events.log(
+            "cancel_answered",
+            job=query.job_id,
+            data_centre=query.shard.data_centre,
+            outcome=outcome.value,
+            reason=cause,
+        )
+    )
--- /dev/null
+++ b/fescueturn/scheduler/shardownership.py
@@ -0,0 +1,176 @@
+"""Ownership of this data centre's shards: acquire, give up, hand over."""
+
+from fescueturn.scheduler import coordinator
+from fescueturn.scheduler import election
+from fescueturn.scheduler import events
+from fescueturn.scheduler import handover
+from fescueturn.scheduler import keptevents
+from fescueturn.scheduler import keptjobs
+from fescueturn.scheduler import linkmessages
+from fescueturn.scheduler import model
+from fescueturn.scheduler import ownerstate
+from fescueturn.scheduler import roster
+
+
+def handle_holder_change(state, event: events.HolderChanged) -> list:
+  """Handles a change of a shard's holder in the store.
+
+  Returns:
+    The effects to carry out.
+  """
+  candidate = state.candidates.get(event.shard)
+  if candidate is None:
+    return []
+  election.handle_holder_change(
+      candidate, event.holder, state.now, event.unreadable_revision
+  )
+  holder = candidate.holder
+  if holder is None and state.now < candidate.yield_until:
+    return drop_owner(state, event.shard, "roomier_host")
+  if holder is None:
+    return []
+  is_mine = (
+      linkmessages.HostProcess(holder.host, holder.boot) == state.me.process
+  )
+  if holder.host == state.me.process.host and not is_mine:
+    # The claim is of an earlier process of this host, which has exited.
+    election.mark_holder_stale(candidate, state.now)
+  owner = state.owners.get(event.shard)
+  if not is_mine:
+    if owner is not None and owner.fence < holder.fence:
+      return drop_owner(state, event.shard, "replaced")
+    return []
+  if owner is not None and owner.fence >= holder.fence:
+    return []
+  if owner is not None and not keptjobs.has_kept_jobs(owner):
+    keptjobs.replace_fence(owner, holder.fence)
+    return []
+  # Another holder may have written records of kept jobs between the two claims,
+  # so the owner's copy of them may be out of date.
+  effects_of_drop = drop_owner(state, event.shard, "claimed_anew")
+  if holder.fence <= candidate.stepped_down_fence:
+    return []
+  return effects_of_drop + _take_shard(
+      state, event.shard, holder.fence, event.follows
+  )
+
+
+def _take_shard(state, shard: model.Shard, fence: int, follows: int) -> list:
+  # The new owner starts without endpoints: an earlier list may show endpoints
+  # as ready that are draining by now, and the I/O shell fetches a fresh one as
+  # soon as a shard is owned.
+  endpoints_to_query = roster.inherited_endpoints(
+      state.coordinator.holders.get(shard), follows, state.now
+  )
+  state.owners[shard] = ownerstate.Owner(
+      shard,
+      fence,
+      state.now,
+      state.me.ended_job_retention_s,
+      endpoints_to_query,
+      state.evacuations,
+  )
+  return [
+      events.log(
+          "shard_taken",
+          data_centre=shard.data_centre,
+          fence=fence,
+          follows=follows,
+          endpoints_to_ask=len(endpoints_to_query)
+          if endpoints_to_query is not None
+          else "unknown",
+      ),
+      keptevents.LoadKeptJobs(shard, fence),
+  ]
+
+
+def step_down(state, owner: ownerstate.Owner, reason: str):
+  """Gives up a shard at once; its coordinators wait for the next holder."""
+  for process in owner.last_contact:
+    owner.send_to_coordinator(process, linkmessages.Pong(holding=False))
+  owner.emit(
+      events.log(
+          "shard_lost",
+          data_centre=owner.shard.data_centre,
+          fence=owner.fence,
+          why=reason,
+          jobs=len(owner.jobs),
+      )
+  )
+  state.candidates[owner.shard].stepped_down_fence = owner.fence
+  # The caller still takes the owner's last effects.
+  state.owners.pop(owner.shard, None)
+
+
+def drop_owner(state, shard: model.Shard, reason: str) -> list[events.Effect]:
+  """Gives up a shard if this host owns it.
+
+  Returns:
+    The effects to carry out.
+  """
+  owner = state.owners.get(shard)
+  if owner is None:
+    return []
+  step_down(state, owner, reason)
+  return owner.take_effects()
+
+
+def mark_holder_stale(
+    state, shard, process: linkmessages.HostProcess, grace_s: float
+):
+  """Marks a shard's holder as stale if the store still names that process."""
+  candidate = state.candidates.get(shard)
+  holder = candidate.holder if candidate else None
+  if holder is None or process == state.me.process:
+    return
+  if linkmessages.HostProcess(holder.host, holder.boot) == process:
+    election.mark_holder_stale(candidate, state.now, grace_s)
+
+
+def handle_suspected_holder(state, suspect: linkmessages.SuspectedHolder):
+  """Marks a suspected holder as stale if it is silent to this host as well."""
+  candidate = state.candidates.get(suspect.shard)
+  record = state.coordinator.holders.get(suspect.shard)
+  if candidate is None or candidate.holder is None or record is None:
+    return
+  is_mine = suspect.shard in state.owners
+  same_claim = candidate.holder.fence == record.holder.fence == suspect.fence
+  if (
+      not same_claim
+      or is_mine
+      or not election.may_suspect(candidate, state.now)
+  ):
+    return
+  if coordinator.silent(state.coordinator, record):
+    election.mark_holder_stale(candidate, state.now)
+
+
+def hand_over_shards(state) -> list:
+  """Releases the claims of shards that a host with more CPU can take over.
+
+  This host serves the shards until the store reports that the claims are
+  deleted.
+  """
+  effects = []
+  for shard, owner in state.owners.items():
+    candidate = state.candidates[shard]
+    is_yielding = state.now < candidate.yield_until
+    if not is_yielding and handover.should_hand_over(owner, state.me.cores):
+      candidate.yield_until = state.now + handover.YIELD_S
+      effects.append(events.ReleaseShard(shard, owner.fence))
+  return effects
+
+
+def decide(state, candidate: election.Candidate) -> events.ClaimShard | None:
+  """Returns the claim to make for a shard now, if any."""
+  holder = state.coordinator.holders.get(candidate.shard)
+  holder_alive = holder is not None and coordinator.alive(
+      state.coordinator, holder
+  )
+  return election.decide(
+      candidate,
+      state.now,
+      candidate.shard in state.owners,
+      state.draining,
+      holder_alive and candidate.shard not in state.owners,
+  )
