--- a/fescueturn/scheduler/coordinator.py
+++ b/fescueturn/scheduler/coordinator.py
@@ -264,7 +264,7 @@
   """Returns how many of a queue's jobs have not started.
 
   They are the kept jobs of all shards, as their holders last reported, and the
-  jobs of this host that no holder has accepted yet.
+  jobs of this host whose offer no holder has answered yet.
   """
   kept = sum(h.pending.get(queue, 0) for h in state.holders.values())
   unaccepted = sum(
