--- a/fescueturn/emulator/clock.py
+++ b/fescueturn/emulator/clock.py
@@ -22,7 +22,7 @@
     return self._now
 
   def at(self, when: float, action: Callable[[], None]):
-    """Schedules `action` for the time `when` (s), or for now if that is past."""
+    """Schedules `action` for time `when` (s), or for now if that is past."""
     heapq.heappush(
         self._queue, (max(when, self._now), next(self._sequence), action)
     )
@@ -32,7 +32,7 @@
     self.at(self._now + delay_s, action)
 
   def run_until(self, end: float):
-    """Runs all actions due up to the time `end` (s) and sets the clock to it."""
+    """Runs all actions due up to time `end` (s) and sets the clock to it."""
     while self._queue and self._queue[0][0] <= end:
       self._now, _, action = heapq.heappop(self._queue)
       action()
--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -174,10 +174,12 @@
     """Returns the largest capacity that may be in use now."""
     now = self._clock.now
     usable = [
-        capacity for until, capacity in self._previous_capacities if until > now
+        resources
+        for until, resources in self._previous_capacities
+        if until > now
     ]
     usable.append(self.info.capacity)
-    return max(usable, key=lambda capacity: capacity.cpu)
+    return max(usable, key=lambda resources: resources.cpu)
 
   def _check_invariants(self, run_id: model.RunId):
     free = self._max_usable_capacity()
@@ -188,7 +190,7 @@
     others = self._running_on.setdefault(run_id.task, set())
     if others:
       self._broken.append(
-          f"{self._clock.now:.3f} {run_id} on {self.info.id} while active on {others}"
+          f"{self._clock.now:.3f} {run_id} on {self.info.id}, active on {others}"
       )
     others.add(self.info.id)
     if (
--- a/fescueturn/emulator/fleetstore.py
+++ b/fescueturn/emulator/fleetstore.py
@@ -8,7 +8,8 @@
 
 # One-way network delay to the store, as the users' data sheets give it.
 STORE_DELAY_S = 0.002
-# A busy host is notified of a change up to this many times as late.
+# Notifications take between one and this many times the network delay, as busy
+# hosts handle them late.
 MAX_WATCH_DELAY_FACTOR = 6.0
 CLAIM_LEASE_S = 1.5
 # Time (s) after which an unanswered write is repeated.
@@ -48,7 +49,7 @@
   def read_claims(self, host: hosts.EmulatedHost):
     """Sends a host all claims and evacuation requests.
 
-    Tries retry until the host can reach the store.
+    Retries until the host can reach the store.
     """
     if not self.can_reach_store(host):
       self._fleet.clock.after(0.1, lambda: self.read_claims(host))
@@ -143,7 +144,7 @@
     )
 
   def load_kept(self, host, effect: keptevents.LoadKeptJobs):
-    """Takes over and reads a shard's records of kept jobs for its new holder."""
+    """Takes over a shard's records of kept jobs for its new holder."""
     if not self.can_reach_store(host):
       self._fleet.clock.after(
           STORE_RETRY_S, lambda: self.load_kept(host, effect)
@@ -180,14 +181,14 @@
 
   def list_ended(self, host, effect: keptevents.ListEndedJobs):
     """Lists a shard's finished kept jobs."""
-    host.apply(self._fleet.kept_store.list_ended(effect))
+    host.apply(self._fleet.kept_store.get_finished_jobs(effect))
 
   def list_open(self, host, effect: keptevents.ListOpenJobs):
     """Lists a shard's unfinished kept jobs."""
-    list_open = keptevents.OpenJobsListed(effect.shard, effect.fence, ())
+    answer = keptevents.OpenJobsListed(effect.shard, effect.fence, ())
     if self.can_reach_store(host):
-      list_open = self._fleet.kept_store.list_open(effect)
-    self._fleet.clock.after(2 * STORE_DELAY_S, lambda: host.apply(list_open))
+      answer = self._fleet.kept_store.get_open_jobs(effect)
+    self._fleet.clock.after(2 * STORE_DELAY_S, lambda: host.apply(answer))
 
   def release(self, host, effect: events.ReleaseShard):
     """Executes the release of a claim, unless another holder has it by now."""
--- a/fescueturn/emulator/hosts.py
+++ b/fescueturn/emulator/hosts.py
@@ -1,4 +1,4 @@
-"""An emulated host: the real reducer and its timer; it can be killed or frozen."""
+"""An emulated host: the real reducer, driven by a virtual timer."""
 
 from fescueturn.scheduler import events
 from fescueturn.scheduler import linkmessages
@@ -18,7 +18,7 @@
   Attributes:
     name: the host's name.
     data_centre: the host's data centre.
-    process: the host's process, with the number of its boot.
+    process: the host's process, identified by name and boot.
     state: the reducer's state.
     up: False after the host was killed.
     frozen: True while the process is suspended; events to it are deferred.
@@ -71,7 +71,7 @@
       self.apply(event)
 
   def tick(self):
-    """Handles one tick of the host's timer; repeats until the host is killed."""
+    """Handles a tick of the host's timer and schedules the next one."""
     if not self.up:
       return
     self.apply(events.Tick())
--- a/fescueturn/emulator/keptstore.py
+++ b/fescueturn/emulator/keptstore.py
@@ -123,14 +123,14 @@
       else:
         self.states.pop(change.job_id, None)
 
-  def list_open(
+  def get_open_jobs(
       self, effect: keptevents.ListOpenJobs
   ) -> keptevents.OpenJobsListed:
     """Returns a shard's unfinished jobs."""
     jobs = tuple(self.open.get(effect.shard, {}).values())
     return keptevents.OpenJobsListed(effect.shard, effect.fence, jobs)
 
-  def list_ended(
+  def get_finished_jobs(
       self, effect: keptevents.ListEndedJobs
   ) -> keptevents.EndedJobsListed:
     """Returns a shard's finished jobs that are still known."""
--- a/fescueturn/emulator/load.py
+++ b/fescueturn/emulator/load.py
@@ -18,8 +18,8 @@
 # On the users' data sheets, callers wait between 1.9 and 3.5 s for an answer.
 MIN_CALLER_WAIT_S = 1.9
 MAX_CALLER_WAIT_S = 3.5
-# The latency objective on the users' data sheets: STRETCH times the job's longest
-# run plus SLO_MS.
+# The latency objective on the users' data sheets: STRETCH times the job's
+# longest run plus SLO_MS.
 STRETCH = 1.6
 SLO_MS = 60
 ATTEMPTS = 3
@@ -202,10 +202,10 @@
   latency = histogram.HdrHistogram(1, MAX_LATENCY_US, 3)
   of_kind = [job for job in submitted if job.kind is kind]
   for job in of_kind:
-    answer = fleet.answers[job.request]
-    counts[_classify(answer, job.objective_s)] += 1
-    if answer.answer.outcome is model.Outcome.DONE:
-      latency.record_value(int(answer.took_s * 1e6))
+    result = fleet.answers[job.request]
+    counts[_classify(result, job.objective_s)] += 1
+    if result.answer.outcome is model.Outcome.DONE:
+      latency.record_value(int(result.took_s * 1e6))
   return KindReport(
       kind.name,
       len(of_kind),
@@ -215,11 +215,11 @@
   )
 
 
-def _classify(answer: fleet_lib.CallerAnswer, objective_s: float) -> str:
-  if answer.answer.outcome is model.Outcome.NOT_RUN:
+def _classify(result: fleet_lib.CallerAnswer, objective_s: float) -> str:
+  if result.answer.outcome is model.Outcome.NOT_RUN:
     return "refused"
-  if answer.answer.outcome is not model.Outcome.DONE:
+  if result.answer.outcome is not model.Outcome.DONE:
     return "failed"
-  if answer.took_s <= objective_s:
+  if result.took_s <= objective_s:
     return "in_time"
-  return "late" if answer.took_s <= LATE_FACTOR * objective_s else "failed"
+  return "late" if result.took_s <= LATE_FACTOR * objective_s else "failed"
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -74,12 +74,12 @@
     _, tasks, run_ms = fleet.rng.choices(kinds, [k[0] for k in kinds])[0]
     run_s = [run_ms / 1000 * fleet.rng.uniform(0.7, 1.4) for _ in range(tasks)]
 
-    def submit(number=number, tasks=tasks, run_ms=run_ms, run_s=run_s):
+    def submit_job(number=number, tasks=tasks, run_ms=run_ms, run_s=run_s):
       host = fleet.rng.choice([h for h in hosts if h.up and not h.frozen])
       wanted = job(f"{prefix}{number}", tasks, run_ms)
       requests.append(fleet.submit(host.name, wanted, run_s))
 
-    fleet.clock.at(when, submit)
+    fleet.clock.at(when, submit_job)
   return requests
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -50,9 +50,9 @@
 def test_wide_jobs_are_not_starved_by_narrow_ones_in_an_overload(seed):
   """130 jobs a second demand 1.3 times the endpoints' capacity.
 
-  When slots were given out first come, first served, 0.34 of the wide jobs, 0.64
-  of the long and 0.78 of the narrow ones were served in time (mean of 16 seeds);
-  with slots reserved for wide jobs it is 0.60, 0.86 and 0.63.
+  When slots were given out first come, first served, 0.34 of the wide jobs,
+  0.64 of the long and 0.78 of the narrow ones were served in time (mean of 16
+  seeds); with slots reserved for wide jobs it is 0.60, 0.86 and 0.63.
   """
   report = load.simulate(load.Plan(seed=seed, seconds=15, jobs_per_s=130))
   assert report.broken == ()
