--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -43,7 +43,7 @@
       record.round.replies[name] = ownership.accept(state, request)
     else:
       member = membership.view.member(name)
-      effects.append(events.Ask(member, request, CLAIM_TIMEOUT_S))
+      effects.append(events.SendPeerRequest(member, request, CLAIM_TIMEOUT_S))
   if record.round.complete:
     effects += _decide(state, record)
   return effects
--- a/fescueturn/entry.py
+++ b/fescueturn/entry.py
@@ -85,8 +85,8 @@
     self._carry = {
         events.SendTask: self._spawn_with(self._send_task),
         events.Settle: self._settle,
-        events.Ask: self._spawn_with(self._ask),
-        events.Tell: self._spawn_with(self._tell),
+        events.SendPeerRequest: self._spawn_with(self._ask),
+        events.SendPeerNotice: self._spawn_with(self._tell),
         events.PeerAnswer: self._peer_answer,
         events.StoreClaim: self._spawn_with(self._store_claim),
         events.Drained: self._on_drained,
@@ -245,7 +245,7 @@
       client = self._peers[member.peer] = peer.PeerClient(member.peer)
     return client
 
-  async def _ask(self, effect: events.Ask):
+  async def _ask(self, effect: events.SendPeerRequest):
     member = effect.member
     reply, dead = None, False
     try:
@@ -261,7 +261,7 @@
       self._stats.incr("peer_lost")
     await self._apply(events.PeerReplied(effect, reply, dead))
 
-  async def _tell(self, effect: events.Tell):
+  async def _tell(self, effect: events.SendPeerNotice):
     await self._peer(effect.member).tell(effect.message)
 
   async def _store_claim(self, effect: events.StoreClaim):
--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerReplied:
-  """What came of an `Ask`.
+  """What came of an `SendPeerRequest`.
 
   Attributes:
     ask: the effect that asked.
@@ -211,7 +211,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ask:
+class SendPeerRequest:
   """Send a message to a peer; report back with `PeerReplied`.
 
   Attributes:
@@ -228,7 +228,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Tell:
+class SendPeerNotice:
   """Send a one-way message to a peer."""
 
   member: Member
@@ -255,4 +255,12 @@
   """Nothing is in flight any more; the shell may stop."""
 
 
-Effect = SendTask | Settle | Ask | Tell | PeerAnswer | StoreClaim | Drained
+Effect = (
+    SendTask
+    | Settle
+    | SendPeerRequest
+    | SendPeerNotice
+    | PeerAnswer
+    | StoreClaim
+    | Drained
+)
--- a/fescueturn/jobs.py
+++ b/fescueturn/jobs.py
@@ -96,7 +96,7 @@
 
 def forward(
     state, waiter: state_lib.Waiter, member: events.Member
-) -> events.Ask:
+) -> events.SendPeerRequest:
   """Returns the effect that passes a request on to `member`."""
   state.counters["forwarded"] += 1
   request, hops = waiter.request, waiter.hops + 1
@@ -109,7 +109,7 @@
     default_ms = team.deadline_ms if team else 0
     timeout_s = (request.deadline_ms or default_ms) / 1000
   state.parked[waiter.request_id] = state_lib.Parked(waiter, member)
-  return events.Ask(member, message, timeout_s, waiter.request_id)
+  return events.SendPeerRequest(member, message, timeout_s, waiter.request_id)
 
 
 def _join(state, record: state_lib.JobRecord, waiter: state_lib.Waiter) -> list:
@@ -244,7 +244,10 @@
   state.claims.put(claim, state.now)
   remote = _remote_holders(state, claim.key)
   copies = len(remote) if record.cancelled else ANSWER_COPIES
-  return [events.Tell(m, claims.AnswerCopy(claim)) for m in remote[:copies]]
+  return [
+      events.SendPeerNotice(m, claims.AnswerCopy(claim))
+      for m in remote[:copies]
+  ]
 
 
 def _remote_holders(state, key: str) -> list[events.Member]:
@@ -278,7 +281,8 @@
   release = claims.Release(record.job.key, state.me, record.number)
   state.claims.release(release)
   return [
-      events.Tell(m, release) for m in _remote_holders(state, record.job.key)
+      events.SendPeerNotice(m, release)
+      for m in _remote_holders(state, record.job.key)
   ]
 
 
--- a/fescueturn/lab/faultbench.py
+++ b/fescueturn/lab/faultbench.py
@@ -68,9 +68,9 @@
 
   async def fault(lab, kv):
     del lab
-    await kv.fault(mode)
+    await kv.set_fault(mode)
     await curio.sleep(FAULT_FOR_S)
-    await kv.fault("none")
+    await kv.set_fault("none")
 
   return fault
 
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -146,7 +146,9 @@
   return [_sync_ask(state, member) for member in asked.values()]
 
 
-def _sync_ask(state: state_lib.EntryState, member: events.Member) -> events.Ask:
+def _sync_ask(
+    state: state_lib.EntryState, member: events.Member
+) -> events.SendPeerRequest:
   membership = state.membership
   departed = member.name in membership.departed
   request = claims.SyncRequest(
@@ -155,7 +157,7 @@
       departed_lease=member.lease if departed else 0,
       partitions=tuple(sorted(membership.sync.wanted)),
   )
-  return events.Ask(member, request, SYNC_TIMEOUT_S)
+  return events.SendPeerRequest(member, request, SYNC_TIMEOUT_S)
 
 
 def sync_replied(
@@ -215,7 +217,7 @@
   state.counters["probes"] += 1
   _finish_probe(state)
   request = claims.ProbeRequest(membership.view.digest, state.me)
-  return [events.Ask(m, request, PROBE_TIMEOUT_S) for m in others]
+  return [events.SendPeerRequest(m, request, PROBE_TIMEOUT_S) for m in others]
 
 
 def probe_replied(
--- a/fescueturn/standins/__init__.py
+++ b/fescueturn/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of outside systems, for the demo, the tests and the benches."""
+"""Stand-ins for external systems, used by the demo, tests and benchmarks."""
--- a/fescueturn/standins/control.py
+++ b/fescueturn/standins/control.py
@@ -1,4 +1,4 @@
-"""Client of the platform stand-in's own paths: faults, counts, plain writes."""
+"""Client of the platform stand-in's test paths: faults, counters and writes."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 class PlatformControl:
-  """Steers a platform stand-in; `close` drops its connection."""
+  """Controls a platform stand-in over HTTP."""
 
   def __init__(self, address: settings.Address):
     self._pool = httpio.Pool(address, limit=1)
@@ -22,15 +22,20 @@
     if response.status != 200:
       raise ValueError(f"{path}: {response.body.decode()}")
 
-  async def fault(self, mode: str, slow_ms: int = 0):
-    """Has a fault last until the next one; "none" ends it."""
+  async def set_fault(self, mode: str, slow_ms: int = 0):
+    """Sets the stand-in's fault, which lasts until the next one is set.
+
+    Args:
+      mode: one of `standin_platform.FAULT_MODES`; "none" ends a fault.
+      slow_ms: the delay (ms) of each call in the mode "slow".
+    """
     await self._post("/test/fault", {"mode": mode, "slow_ms": slow_ms})
 
   async def put(self, key: str, text: str):
-    """Writes a key as the platform's own parts would."""
+    """Writes a key, as other components of the platform do."""
     await self._post("/test/put", {"key": key, "text": text})
 
   async def stats(self) -> dict:
-    """Returns calls by name, their total, and bytes in and out."""
+    """Returns the number of calls by name, their total, and bytes in and out."""
     response = await self._pool.request("GET", "/test/stats")
     return response.json()
--- a/fescueturn/standins/kvstore.py
+++ b/fescueturn/standins/kvstore.py
@@ -1,8 +1,8 @@
-"""The state of the platform stand-in: keys, revisions, leases, a history.
+"""The platform stand-in's key-value store, in memory.
 
-It behaves as the brief says the platform's key-value service does: transactions
-that depend on revisions, leases that remove their keys when they lapse, and
-watches from a revision. What it lists under one prefix may lag.
+It behaves as the platform's key-value service is specified: transactions that
+are conditional on revisions, leases that delete their keys when they expire,
+and watches from a revision on. The list of one prefix may lag behind.
 """
 
 from fescueturn import kvtypes
@@ -11,7 +11,7 @@
 
 
 class KvStore:
-  """Keys with revisions, leases and a history; no I/O."""
+  """Keys with revisions, leases and a history of changes; it does no I/O."""
 
   def __init__(self):
     self.revision = 0
@@ -27,7 +27,7 @@
     return self._items.get(key)
 
   def lease_of(self, key: str) -> int:
-    """Returns the lease that holds a key, or 0."""
+    """Returns the lease to which a key is attached, or 0 if there is none."""
     return self._lease_of.get(key, 0)
 
   def range(self, prefix: str) -> list[kvtypes.Item]:
@@ -35,19 +35,26 @@
     return [self._items[k] for k in sorted(self._items) if k.startswith(prefix)]
 
   def transact(self, wanted: kvtypes.Transaction) -> int:
-    """Makes changes, all or none; returns their common revision.
+    """Applies a transaction atomically.
+
+    Returns:
+      The revision that all its changes have.
 
     Raises:
-      kvtypes.ConflictError: a condition does not hold.
-      kvtypes.LeaseGoneError: there is no such lease.
+      kvtypes.ConflictError: a key is not at its expected revision.
+      kvtypes.LeaseGoneError: the transaction's lease does not exist any more.
     """
     for key, revision in wanted.expected.items():
       item = self._items.get(key)
       if (item.revision if item else 0) != revision:
-        found = [self._items[k] for k in wanted.expected if k in self._items]
-        raise kvtypes.ConflictError(f"{key}: not at {revision}", tuple(found))
+        current_items = [
+            self._items[k] for k in wanted.expected if k in self._items
+        ]
+        raise kvtypes.ConflictError(
+            f"{key}: not at revision {revision}", tuple(current_items)
+        )
     if wanted.lease and wanted.lease not in self._lease_ends:
-      raise kvtypes.LeaseGoneError(f"lease {wanted.lease}")
+      raise kvtypes.LeaseGoneError(f"lease {wanted.lease} does not exist")
     self.revision += 1
     for key, value in wanted.puts.items():
       self._write(key, value, wanted.lease)
@@ -63,7 +70,7 @@
     self._record(self._items[key])
 
   def put(self, key: str, value: bytes, lease: int = 0) -> int:
-    """Writes a key whatever its revision; returns the new one."""
+    """Writes a key unconditionally; returns its new revision."""
     return self.transact(kvtypes.Transaction(puts={key: value}, lease=lease))
 
   def _remove(self, key: str):
@@ -77,10 +84,11 @@
       del self._history[: HISTORY_LIMIT // 2]
 
   def changes(self, prefix: str, after: int) -> list[kvtypes.Item] | None:
-    """Returns changes under `prefix` with a revision above `after`.
+    """Returns the changes under `prefix` with a revision above `after`.
 
-    Returns None when the history no longer reaches back that far; the
-    watcher must then read the prefix afresh.
+    Returns:
+      The changes in order, or None if the history doesn't reach back to
+      `after`; the watcher must then read the prefix again.
     """
     if self._history and after < self._history[0].revision - 1:
       return None
@@ -99,14 +107,18 @@
     return lease
 
   def keep(self, lease: int, now: float) -> bool:
-    """Renews a lease; False if it has ended already."""
+    """Renews a lease; returns False if it has already ended."""
     if lease not in self._lease_ends:
       return False
     self._lease_ends[lease] = now + self._lease_ttl_s[lease]
     return True
 
   def end(self, lease: int) -> bool:
-    """Ends a lease and removes its keys; False if it has ended already."""
+    """Ends a lease and deletes its keys.
+
+    Returns:
+      False if the lease had already ended.
+    """
     self._lease_ttl_s.pop(lease, None)
     if self._lease_ends.pop(lease, None) is None:
       return False
@@ -116,26 +128,31 @@
     return True
 
   def expire(self, now: float) -> int:
-    """Ends every lease past its time; returns how many ended."""
-    over = [lease for lease, until in self._lease_ends.items() if until <= now]
-    for lease in over:
+    """Ends all expired leases; returns their number."""
+    expired = [
+        lease for lease, until in self._lease_ends.items() if until <= now
+    ]
+    for lease in expired:
       self.end(lease)
-    return len(over)
+    return len(expired)
 
 
 class LaggingList:
-  """What a reader of one prefix sees: changes of some time ago."""
+  """A delayed view of the items under one prefix.
+
+  It stands for the platform's host list, which shows changes late.
+  """
 
   def __init__(self, lag_s: float):
     self._lag_s = lag_s
     self._changes: list[tuple[float, kvtypes.Item]] = []
 
-  def note(self, now: float, item: kvtypes.Item):
-    """Takes a change under the prefix."""
+  def record_change(self, now: float, item: kvtypes.Item):
+    """Records a change under the prefix at the time `now` (s)."""
     self._changes.append((now, item))
 
   def view(self, now: float) -> list[kvtypes.Item]:
-    """Returns the items as they were the lag ago, in key order."""
+    """Returns the items as they were `lag_s` seconds ago, in key order."""
     items: dict[str, kvtypes.Item] = {}
     for when, item in self._changes:
       if when > now - self._lag_s:
--- a/fescueturn/standins/standin_endpoint.py
+++ b/fescueturn/standins/standin_endpoint.py
@@ -1,10 +1,10 @@
-"""The endpoint stand-in daemon: a back end host taking tasks over HTTP.
+"""The endpoint stand-in daemon: a back-end host that runs tasks over HTTP.
 
-It stands in for the speller and uplift-orders hosts: it runs at most
-`slots` tasks at once, holds each for its declared run time, and counts
-every task start by its downstream idempotency key, so tests can assert
-starts exactly. Faults on command: ``fail_all`` (every task started fails),
-``refuse`` (every task is refused before it starts).
+It stands in for the speller and uplift-orders hosts. It runs at most `slots`
+tasks at once, occupies a slot for a task's declared run time, and counts task
+starts by their idempotency key, so that tests can check for duplicate starts.
+Tests can set a fault: ``fail_all`` (every task that starts fails) or ``refuse``
+(every task is refused before it starts).
 
 Paths: POST /v1/task {team, key, kind, payload, run_ms} -> {code, result};
 GET /v1/stats; POST /v1/fault {mode}.
@@ -21,13 +21,13 @@
 from fescueturn import kvtypes
 from fescueturn import settings
 from fescueturn import timer
-from fescueturn.standins import work
+from fescueturn.standins import taskkinds
 
 ENDPOINT_FAULTS = ("none", "fail_all", "refuse")
 
 
 class EndpointStandIn:
-  """An endpoint's state and handler; `start` listens, `close` drains."""
+  """The endpoint's state and HTTP handler."""
 
   def __init__(
       self,
@@ -40,18 +40,18 @@
     self._config = config
     self._timer = clock
     self._slots = curio.Semaphore(config.slots)
-    self._kv = store
+    self._store = store
     self._server = httpio.Server(config.listen, self._handle)
     self._starts: collections.Counter[str] = collections.Counter()
     self._fault = "none"
     self._leaving_since: float | None = None
     self._last_start = 0.0
     self._starts_while_leaving = 0
-    self._open = 0
+    self._in_flight = 0
 
   @property
-  def record(self) -> kvtypes.HostRecord:
-    """This endpoint as the platform's host list should show it."""
+  def host_record(self) -> kvtypes.HostRecord:
+    """The endpoint's entry in the platform's host list."""
     return kvtypes.HostRecord(
         name=self._process.name,
         address=str(self._config.listen),
@@ -62,44 +62,44 @@
     )
 
   async def start(self):
-    """Warms the dictionary, listens and joins the host list."""
-    work.warm_up()
+    """Loads the dictionary, starts the server and joins the host list."""
+    taskkinds.warm_up()
     await self._server.start()
-    await self._list()
+    await self._write_host_record()
     logger.info(
         "event=endpoint_started name={} listen={}",
         self._process.name,
         self._config.listen,
     )
 
-  async def _list(self):
-    """Writes this endpoint's entry of the host list."""
-    puts = {self.record.key: self.record.encode()}
-    await self._kv.transact(kvtypes.Transaction(puts=puts))
+  async def _write_host_record(self):
+    """Writes the endpoint's entry into the host list."""
+    puts = {self.host_record.key: self.host_record.encode()}
+    await self._store.transact(kvtypes.Transaction(puts=puts))
 
   async def leave(self):
-    """Marks this endpoint as leaving on the host list; it keeps serving."""
+    """Marks the endpoint as leaving in the host list; it goes on serving."""
     self._leaving_since = self._timer.now()
     try:
-      await self._list()
+      await self._write_host_record()
     except errors.KvError as exc:  # The platform may be down; leave anyway.
       logger.warning("event=leave_unlisted error={!r}", exc)
     logger.info("event=endpoint_leaving name={}", self._process.name)
 
   async def close(self):
-    """Stops accepting, waits for tasks in flight, leaves the host list."""
+    """Stops the server, waits for tasks in flight and leaves the host list."""
     await self._server.close()
-    while self._open:
+    while self._in_flight:
       await curio.sleep(0.05)
     try:
-      removal = kvtypes.Transaction(removes=(self.record.key,))
-      await self._kv.transact(removal)
+      removal = kvtypes.Transaction(removes=(self.host_record.key,))
+      await self._store.transact(removal)
     except errors.KvError as exc:
       logger.warning("event=unlist_failed error={!r}", exc)
-    await self._kv.close()
+    await self._store.close()
 
   def stats(self) -> dict:
-    """Returns task start counts, for tests and the bench."""
+    """Returns counts of task starts, for tests and benchmarks."""
     duplicates = sum(n - 1 for n in self._starts.values() if n > 1)
     return {
         "name": self._process.name,
@@ -109,29 +109,29 @@
         "leaving_since": self._leaving_since,
         "last_start": self._last_start,
         "starts_while_leaving": self._starts_while_leaving,
-        "in_flight": self._open,
+        "in_flight": self._in_flight,
     }
 
   async def _handle(self, request: httpio.Request) -> httpio.Response:
     route = (request.method, request.target)
     if route == ("POST", "/v1/task"):
-      return await self._task(request)
+      return await self._handle_task(request)
     if route == ("GET", "/v1/stats") or route == ("GET", "/dump"):
       return httpio.json_response(200, self.stats())
     if route == ("POST", "/v1/fault"):
       mode = request.json().get("mode", "none")
       if mode not in ENDPOINT_FAULTS:
         return httpio.json_response(
-            400, {"error": f"mode one of {ENDPOINT_FAULTS}"}
+            400, {"error": f"mode must be one of {ENDPOINT_FAULTS}"}
         )
       self._fault = mode
       return httpio.json_response(200, {"mode": mode})
-    return httpio.json_response(404, {"error": "no such path"})
+    return httpio.json_response(404, {"error": "unknown path"})
 
-  async def _task(self, request: httpio.Request) -> httpio.Response:
+  async def _handle_task(self, request: httpio.Request) -> httpio.Response:
     try:
       body = request.json()
-      service, run = work.KINDS[body["kind"]]
+      service, run = taskkinds.KINDS[body["kind"]]
       key, payload, run_ms = body["key"], body["payload"], int(body["run_ms"])
     except (ValueError, KeyError, TypeError) as exc:
       return httpio.json_response(
@@ -141,7 +141,7 @@
       return httpio.json_response(
           503, {"code": int(codes.Code.TASK_NOT_RUN_REFUSED)}
       )
-    self._open += 1
+    self._in_flight += 1
     try:
       async with self._slots:
         self._count_start(key)
@@ -155,7 +155,7 @@
             200, {"code": int(codes.Code.TASK_DONE), "result": run(payload)}
         )
     finally:
-      self._open -= 1
+      self._in_flight -= 1
 
   def _count_start(self, key: str):
     self._starts[key] += 1
--- a/fescueturn/standins/standin_platform.py
+++ b/fescueturn/standins/standin_platform.py
@@ -1,12 +1,12 @@
-"""The platform stand-in daemon: the key-value service the brief describes.
+"""The platform stand-in daemon: a key-value service like the platform's.
 
-It speaks the platform's wire (`platform.wireserver`), counts every call (a
-waiting watch as one) and takes faults on command: ``down`` (every call gets
-503, waiting watches too; leases go on running out), ``slow`` (each call waits),
-``lose_reply`` (writes apply, then the connection drops unanswered). What it
-lists under `kvtypes.HOSTS_PREFIX` lags.
+It serves the platform's protocol (`platform.wireserver`) and counts all calls
+(a waiting watch as one). Tests can set a fault: ``down`` (all calls, also waiting
+watches, are answered with 503, while leases still expire), ``slow`` (each call
+is delayed) or ``lose_reply`` (writes are applied, then the connection is closed
+without a reply). The list under `kvtypes.HOSTS_PREFIX` lags behind.
 
-Its own paths, for tests and benches (see `control`):
+Its test paths, for tests and benchmarks (see `control`):
   POST /test/fault {mode, slow_ms?}     GET /test/stats
   POST /test/put {key, text}
 """
@@ -28,38 +28,38 @@
 
 
 class _DropConnectionError(ConnectionError):
-  """Raised to end a connection without a reply (the lose_reply fault)."""
+  """Raised to close a connection without a reply (fault ``lose_reply``)."""
 
 
-class _Store(kvstore.KvStore):
-  """A store whose list of hosts lags."""
+class _LaggingStore(kvstore.KvStore):
+  """A store whose host list lags behind."""
 
   def __init__(self, lag_s: float, now):
     super().__init__()
-    self._hosts = kvstore.LaggingList(lag_s)
+    self._host_list = kvstore.LaggingList(lag_s)
     self._now = now
 
   def _record(self, item: kvtypes.Item):
     super()._record(item)
     if item.key.startswith(kvtypes.HOSTS_PREFIX):
-      self._hosts.note(self._now(), item)
+      self._host_list.record_change(self._now(), item)
 
   def range(self, prefix: str) -> list[kvtypes.Item]:
-    """Returns the items under a prefix; those of hosts as they were."""
+    """Returns the items under a prefix; the host list lags behind."""
     if prefix == kvtypes.HOSTS_PREFIX:
-      return self._hosts.view(self._now())
+      return self._host_list.view(self._now())
     return super().range(prefix)
 
 
 class PlatformStandIn:
-  """The stand-in's state and HTTP handler; `start` listens, `close` stops."""
+  """The stand-in's state and HTTP handler."""
 
   def __init__(
       self, config: settings.PlatformSettings, clock: timer.TimerService
   ):
     self._config = config
     self._timer = clock
-    self._store = _Store(config.host_list_lag_s, clock.now)
+    self._store = _LaggingStore(config.host_list_lag_s, clock.now)
     self._wire = wireserver.WireServer(self._store, clock.now)
     self._fault = "none"
     self._slow_ms = 0
@@ -67,13 +67,13 @@
     self._server = httpio.Server(config.listen, self._handle)
 
   async def start(self):
-    """Starts serving and expiring leases."""
+    """Starts the server and the expiry of leases."""
     self._timer.subscribe(self._expire)
     await self._server.start()
     logger.info("event=platform_started listen={}", self._config.listen)
 
   async def close(self):
-    """Stops serving."""
+    """Stops the server."""
     await self._server.close()
 
   async def _expire(self, now: float):
@@ -100,7 +100,7 @@
     elif path == "/test/fault":
       self._set_fault(body)
     else:
-      return httpio.json_response(404, {"error": f"no path {path}"})
+      return httpio.json_response(404, {"error": f"unknown path {path}"})
     await self._wire.notify_watches()
     return httpio.json_response(200, {})
 
@@ -116,7 +116,7 @@
   def _set_fault(self, body: dict):
     mode = body.get("mode", "none")
     if mode not in FAULT_MODES:
-      raise ValueError(f"mode one of {FAULT_MODES}")
+      raise ValueError(f"mode must be one of {FAULT_MODES}")
     self._fault = mode
     self._wire.down = mode == "down"
     self._slow_ms = int(body.get("slow_ms", 0))
@@ -130,8 +130,8 @@
       await curio.sleep(self._slow_ms / 1000)
     response = await self._wire.handle(request)
     if response is None:
-      return httpio.json_response(404, {"error": f"no call {path}"})
-    wrote = request.method != "GET" and response.status == 200
-    if self._fault == "lose_reply" and wrote:
+      return httpio.json_response(404, {"error": f"unknown call {path}"})
+    is_write = request.method != "GET" and response.status == 200
+    if self._fault == "lose_reply" and is_write:
       raise _DropConnectionError()
     return response
--- a/fescueturn/standins/work.py
+++ b/fescueturn/standins/taskkinds.py
@@ -1,8 +1,8 @@
-"""What the endpoint stand-ins compute: spelling checks and uplift orders.
+"""The kinds of tasks that endpoint stand-ins run, with their services.
 
-The speller checks and corrects English words with pyspellchecker's
-dictionary. Uplift-orders answers quote checks, fuel releases and
-cancellations. Each kind is a plain function from payload to result.
+The speller service checks English words against pyspellchecker's dictionary.
+The uplift-orders service answers quote checks, fuel releases and cancellations.
+Each kind is a function from a task's payload to its result.
 """
 
 import hashlib
@@ -12,7 +12,8 @@
 
 SPELLER = "speller"
 UPLIFT = "uplift-orders"
-# Corrections two edits away cost the one-threaded stand-in about 50 times as much.
+# With an edit distance of 2, a correction would take about 50 times as long and
+# block the single-threaded stand-in.
 EDIT_DISTANCE = 1
 
 _checker = None
@@ -26,19 +27,19 @@
 
 
 def warm_up() -> None:
-  """Loads the dictionary now, so the first check does not pay for it."""
+  """Loads the dictionary, so that the first check is not delayed by it."""
   _speller()
 
 
 def check_spelling(payload: str) -> str:
-  """Returns ``word->correction`` for each misspelt word, space-separated."""
+  """Returns ``word->correction`` for each misspelt word, or "ok"."""
   checker = _speller()
   words = [w.strip(".,;:!?\"'()").lower() for w in payload.split()]
   words = [w for w in words if w.isalpha()]
-  fixes = []
+  corrections = []
   for word in sorted(checker.unknown(words)):
-    fixes.append(f"{word}->{checker.correction(word) or '?'}")
-  return " ".join(fixes) if fixes else "ok"
+    corrections.append(f"{word}->{checker.correction(word) or '?'}")
+  return " ".join(corrections) if corrections else "ok"
 
 
 def _digest(payload: str) -> str:
@@ -51,7 +52,7 @@
 
 
 def fuel_release(payload: str) -> str:
-  """Returns a fuel release confirmation (a non-idempotent action)."""
+  """Returns a confirmation of a fuel release, which is not idempotent."""
   return f"released:{_digest(payload)}"
 
 
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -24,7 +24,7 @@
   """A message on its way; `reply` is set on the way back."""
 
   source: str
-  effect: events.Ask | events.Tell
+  effect: events.SendPeerRequest | events.SendPeerNotice
   reply: claims.Reply | None = None
 
 
@@ -144,7 +144,7 @@
       self._back(letter.source, events.PeerReplied(letter.effect, letter.reply))
     elif self._runs(letter.effect.member):
       self._hand_over(letter)
-    elif isinstance(letter.effect, events.Ask):
+    elif isinstance(letter.effect, events.SendPeerRequest):
       event = events.PeerReplied(letter.effect, None, dead=True)
       self._back(letter.source, event)
 
@@ -168,12 +168,12 @@
   def _hand_over(self, letter):
     number = next(self._ids)
     name = letter.effect.member.name
-    if isinstance(letter.effect, events.Ask):
+    if isinstance(letter.effect, events.SendPeerRequest):
       self.asked[number] = letter
     self._apply(name, events.PeerAsked(number, letter.effect.message))
 
   def _lost(self, letter):
-    if isinstance(letter.effect, events.Ask):
+    if isinstance(letter.effect, events.SendPeerRequest):
       self._back(letter.source, events.PeerReplied(letter.effect, None))
 
   def _back(self, name, event):
@@ -183,7 +183,7 @@
   def _apply(self, name, event):
     state = self.hosts[name]
     for effect in reducer.reduce(state, event, self.now):
-      if isinstance(effect, (events.Ask, events.Tell)):
+      if isinstance(effect, (events.SendPeerRequest, events.SendPeerNotice)):
         self.letters.append(Letter(name, effect))
       elif isinstance(effect, (events.PeerAnswer, events.Settle)):
         self._answered(effect)
--- a/tests/test_kvstore.py
+++ b/tests/test_kvstore.py
@@ -4,23 +4,23 @@
 from fescueturn.standins import kvstore
 
 
-def swap(store, key, expected, value, lease=0):
-  wanted = kvtypes.Transaction({key: expected}, {key: value}, lease=lease)
-  return store.transact(wanted)
+def compare_and_swap(store, key, expected, value, lease=0):
+  transaction = kvtypes.Transaction({key: expected}, {key: value}, lease=lease)
+  return store.transact(transaction)
 
 
 def test_compare_and_swap_and_history():
   store = kvstore.KvStore()
-  first = swap(store, "/a", 0, b"1")
+  first = compare_and_swap(store, "/a", 0, b"1")
   with pytest.raises(kvtypes.ConflictError) as caught:
-    swap(store, "/a", 0, b"2")
+    compare_and_swap(store, "/a", 0, b"2")
   assert caught.value.items["/a"].value == b"1"
-  second = swap(store, "/a", first, b"2")
+  second = compare_and_swap(store, "/a", first, b"2")
   assert second == first + 1
   assert [item.value for item in store.changes("/a", 0)] == [b"1", b"2"]
 
 
-def test_transaction_is_made_whole_or_not_at_all():
+def test_transaction_is_atomic():
   store = kvstore.KvStore()
   store.put("/a", b"1")
   with pytest.raises(kvtypes.ConflictError):
@@ -35,7 +35,7 @@
   assert store.get("/c") == kvtypes.Item("/c", revision, b"3")
 
 
-def test_lapsed_lease_deletes_its_keys():
+def test_expired_lease_deletes_its_keys():
   store = kvstore.KvStore()
   lease = store.grant(1.0, now=10.0)
   store.put("/m/x", b"addr", lease)
@@ -49,7 +49,7 @@
     store.put("/m/y", b"addr", lease)
 
 
-def test_key_written_again_without_a_lease_outlives_it():
+def test_key_rewritten_without_a_lease_survives_the_lease():
   store = kvstore.KvStore()
   lease = store.grant(1.0, now=10.0)
   store.put("/m/x", b"1", lease)
@@ -58,18 +58,18 @@
   assert store.get("/m/x").value == b"2"
 
 
-def test_list_lags():
+def test_host_list_lags_behind():
   hosts = kvstore.LaggingList(lag_s=2.0)
-  here = kvtypes.HostRecord("e1", "a:1", "dc")
+  serving = kvtypes.HostRecord("e1", "a:1", "dc")
   leaving = kvtypes.HostRecord("e1", "a:1", "dc", leaving=True)
-  hosts.note(0.0, kvtypes.Item(here.key, 1, here.encode()))
-  hosts.note(5.0, kvtypes.Item(here.key, 2, leaving.encode()))
-  hosts.note(9.0, kvtypes.Item(here.key, 3, None))
+  hosts.record_change(0.0, kvtypes.Item(serving.key, 1, serving.encode()))
+  hosts.record_change(5.0, kvtypes.Item(serving.key, 2, leaving.encode()))
+  hosts.record_change(9.0, kvtypes.Item(serving.key, 3, None))
 
-  def seen(now):
+  def view_at(now):
     return [kvtypes.decode_host(item.value) for item in hosts.view(now)]
 
-  assert seen(1.0) == []
-  assert seen(6.0) == [here]
-  assert seen(7.0) == [leaving]
-  assert seen(11.0) == []
+  assert view_at(1.0) == []
+  assert view_at(6.0) == [serving]
+  assert view_at(7.0) == [leaving]
+  assert view_at(11.0) == []
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -17,28 +17,30 @@
   config = settings.PlatformSettings(address)
   platform = standin_platform.PlatformStandIn(config, clock)
   kv = store.StoreClient(address, clock.now)
-  steering = control.PlatformControl(address)
+  platform_control = control.PlatformControl(address)
   await clock.start()
   await platform.start()
   try:
-    return await body(kv, steering)
+    return await body(kv, platform_control)
   finally:
     await kv.close()
-    await steering.close()
+    await platform_control.close()
     await platform.close()
     await clock.close()
 
 
-def test_down_fails_watches_that_wait_and_tells_them_nothing():
-  async def body(kv, steering):
+def test_down_fails_waiting_watches_without_changes():
+  """A waiting watch fails; it does not return a change made while down."""
+
+  async def body(kv, platform_control):
     lease = await kv.grant(200)
     revision = await kv.transact(
         kvtypes.Transaction(puts={"/m/x": b"1"}, lease=lease)
     )
     watch = await curio.spawn(kv.watch, "/m/", revision, 10_000)
     await curio.sleep(0.05)
-    await steering.fault("down")
-    await curio.sleep(0.4)  # The lease runs out meanwhile.
+    await platform_control.set_fault("down")
+    await curio.sleep(0.4)  # The lease expires during this time.
     try:
       return await watch.join()
     except curio.TaskError as exc:
@@ -47,34 +49,34 @@
   assert isinstance(curio.run(with_platform, body), errors.KvError)
 
 
-def test_watch_wakes_for_its_own_prefix_only():
-  async def body(kv, steering):
+def test_watch_returns_only_for_its_own_prefix():
+  async def body(kv, platform_control):
     watch = await curio.spawn(kv.watch, "/teams/", 0, 10_000)
     await curio.sleep(0.05)
-    await steering.put("/jobs/1", "x")
-    await steering.put("/teams/a", "y")
+    await platform_control.put("/jobs/1", "x")
+    await platform_control.put("/teams/a", "y")
     changes = await watch.join()
-    calls = (await steering.stats())["calls"]
+    calls = (await platform_control.stats())["calls"]
     return [item.key for item in changes.items], calls["kv-watch"]
 
   assert curio.run(with_platform, body) == (["/teams/a"], 1)
 
 
 def test_lost_reply_follows_a_write_that_took_effect():
-  async def body(kv, steering):
-    await steering.fault("lose_reply")
+  async def body(kv, platform_control):
+    await platform_control.set_fault("lose_reply")
     with pytest.raises(errors.KvError):
       await kv.transact(kvtypes.Transaction({"/a": 0}, {"/a": b"1"}))
-    await steering.fault("none")
+    await platform_control.set_fault("none")
     return await kv.get("/a")
 
-  found = curio.run(with_platform, body)
-  assert [item.value for item in found.items] == [b"1"]
+  read = curio.run(with_platform, body)
+  assert [item.value for item in read.items] == [b"1"]
 
 
-def test_leases_are_kept_ended_and_told_gone():
-  async def body(kv, steering):
-    del steering
+def test_lease_can_be_renewed_until_it_is_ended():
+  async def body(kv, platform_control):
+    del platform_control
     lease = await kv.grant(60_000)
     await kv.keep(lease)
     await kv.transact(kvtypes.Transaction(puts={"/m/x": b"1"}, lease=lease))
