--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -81,15 +81,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PeerAsked:
-  """A peer's message came in; answered with `PeerAnswer` unless one-way."""
+class PeerRequestReceived:
+  """A peer's message came in; answered with `SendPeerReply` unless one-way."""
 
   request_id: int
   message: claims.Request
 
 
 @dataclasses.dataclass(frozen=True)
-class PeerReplied:
+class PeerReplyReceived:
   """What came of an `SendPeerRequest`.
 
   Attributes:
@@ -99,7 +99,7 @@
       refuses connections, or another process answers there).
   """
 
-  ask: "Ask"
+  request: "Ask"
   reply: claims.Reply | None
   dead: bool = False
 
@@ -176,8 +176,8 @@
 Event = (
     JobArrived
     | CancelArrived
-    | PeerAsked
-    | PeerReplied
+    | PeerRequestReceived
+    | PeerReplyReceived
     | StoreClaimed
     | TaskFinished
     | EndpointsChanged
@@ -203,7 +203,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Settle:
+class SendOutcome:
   """Give a waiting request its outcome: a whole answer or a refusal."""
 
   request_id: int
@@ -212,7 +212,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SendPeerRequest:
-  """Send a message to a peer; report back with `PeerReplied`.
+  """Send a message to a peer; report back with `PeerReplyReceived`.
 
   Attributes:
     member: the peer.
@@ -236,8 +236,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class PeerAnswer:
-  """Answer a peer's message (`PeerAsked`)."""
+class SendPeerReply:
+  """Answer a peer's message (`PeerRequestReceived`)."""
 
   request_id: int
   reply: claims.Reply
@@ -257,10 +257,10 @@
 
 Effect = (
     SendTask
-    | Settle
+    | SendOutcome
     | SendPeerRequest
     | SendPeerNotice
-    | PeerAnswer
+    | SendPeerReply
     | StoreClaim
     | Drained
 )
--- a/fescueturn/lab/__init__.py
+++ b/fescueturn/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Tools: the demo, local processes, benches, and emulated load."""
+"""Tools: the demo, benchmarks, and daemons started on the local machine."""
--- a/fescueturn/lab/caller.py
+++ b/fescueturn/lab/caller.py
@@ -1,4 +1,4 @@
-"""The caller's side: submit a job to an entry host and read its answer."""
+"""A caller: submits a job to an entry host and reads the answer."""
 
 import dataclasses
 import json
@@ -11,7 +11,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-  """What a caller got back: the HTTP status, an answer or a refusal."""
+  """An entry host's reply to a caller.
+
+  Attributes:
+    status: the HTTP status.
+    answer: the job's answer, or None if the request was refused.
+    error_code: why the request was refused, or None if it was answered.
+    retry_after_s: time (s) after which to try again; 0 if not given.
+    body: the reply's JSON body.
+  """
 
   status: int
   answer: messages.JobAnswer | None
@@ -23,11 +31,12 @@
 async def submit(
     pool: httpio.Pool, job: messages.Job, timeout_s: float = 60.0
 ) -> Result:
-  """Posts `job` under its idempotency key; returns what came back.
+  """Submits `job` under its idempotency key.
 
   Raises:
-    httpio.NotSentError, httpio.LostReplyError: the entry host could not be reached
-      or gave no whole reply; the job may then be resubmitted with its key.
+    httpio.NotSentError, httpio.LostReplyError: the entry host could not be
+      reached or its reply was incomplete; the job may be submitted again under
+      its key.
   """
   body = json.dumps(messages.job_to_json(job)).encode()
   headers = (("idempotency-key", job.key), ("content-type", "application/json"))
@@ -38,10 +47,11 @@
 async def cancel(
     pool: httpio.Pool, team: str, key: str, timeout_s: float = 60.0
 ) -> Result:
-  """Cancels the job under `key`; returns its answer, or why not.
+  """Cancels the job under `key`; returns its answer or a refusal.
 
   Raises:
-    httpio.NotSentError, httpio.LostReplyError: as `submit`; cancel again.
+    httpio.NotSentError, httpio.LostReplyError: as for `submit`; the request may
+      be sent again.
   """
   query = urllib.parse.urlencode({"team": team})
   target = f"/v1/jobs/{urllib.parse.quote(key, safe='')}?{query}"
@@ -50,7 +60,11 @@
 
 def _result(response: httpio.Response) -> Result:
   body = response.json()
-  retry = int(dict(response.headers).get("retry-after", 0))
+  retry_after_s = int(dict(response.headers).get("retry-after", 0))
   if response.status == 200:
-    return Result(200, messages.answer_from_json(body), None, retry, body)
-  return Result(response.status, None, codes.Code(body["code"]), retry, body)
+    return Result(
+        200, messages.answer_from_json(body), None, retry_after_s, body
+    )
+  return Result(
+      response.status, None, codes.Code(body["code"]), retry_after_s, body
+  )
--- a/fescueturn/lab/demo.py
+++ b/fescueturn/lab/demo.py
@@ -1,10 +1,11 @@
-"""The demo: one data centre on loopback, both teams' jobs, a report.
-
-It brings up the platform stand-in, two entry hosts and three endpoints as
-separate processes, sends a seeded workload through the entry hosts in turn
-(standing in for the balancer), resubmits some jobs under their keys, and
-prints per team: jobs, complete, failed, response time p50/p99 against the
-ideal, wasted messages and KV calls per job.
+"""The demo: runs both teams' jobs in one data centre on loopback and reports.
+
+It starts the platform stand-in, two entry hosts and three endpoints as separate
+processes, sends a seeded workload to the entry hosts in turn (as a load
+balancer would) and resubmits some jobs under their keys. For each team it
+prints the numbers of jobs, of complete and of failed ones, and the median and
+the 99th percentile of the response times, also as ratios to the ideal ones; for
+all jobs the number of wasted messages and of KV calls per job.
 """
 
 import dataclasses
@@ -23,21 +24,27 @@
 
 ROUND_TRIP_MS = 1.0
 CONCURRENT_JOBS = 16
-RESUBMITTED = 4
+RESUBMITTED_JOBS = 4
 HISTOGRAM_MAX_MS = 600_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-  """One job's run: what came back and how long it took."""
+  """A job's result and response time.
+
+  Attributes:
+    job: the job.
+    result: the entry host's reply, or None if there was none.
+    elapsed_ms: the time (ms) from the submission to the reply or the error.
+  """
 
   job: messages.Job
   result: caller.Result | None
   elapsed_ms: float
 
   @property
-  def whole(self) -> bool:
-    """True when the job got a whole answer: one code for every task."""
+  def fully_answered(self) -> bool:
+    """True if the answer has a code for every task of the job."""
     answer = self.result.answer if self.result else None
     return answer is not None and len(answer.tasks) == len(self.job.tasks)
 
@@ -45,11 +52,11 @@
 async def run_jobs(
     entries: list[httpio.Pool], jobs: list[messages.Job], clock
 ) -> list[Outcome]:
-  """Sends `jobs` round-robin over the entry hosts, a few at a time."""
+  """Submits `jobs` to the entry hosts in turn, a limited number at a time."""
   limit = curio.Semaphore(CONCURRENT_JOBS)
   outcomes: list[Outcome] = []
 
-  async def one(index: int, job: messages.Job):
+  async def submit(index: int, job: messages.Job):
     async with limit:
       started = clock()
       result = None
@@ -61,7 +68,7 @@
 
   async with curio.TaskGroup() as group:
     for index, job in enumerate(jobs):
-      await group.spawn(one, index, job)
+      await group.spawn(submit, index, job)
   return outcomes
 
 
@@ -75,7 +82,7 @@
 def ratio_histogram(
     outcomes: list[Outcome],
 ) -> hdrh.histogram.HdrHistogram:
-  """Returns the jobs' times as percent of each one's ideal time."""
+  """Returns the jobs' response times in percent of each job's ideal time."""
   return _histogram(
       100 * o.elapsed_ms / workload.ideal_ms(o.job, ROUND_TRIP_MS)
       for o in outcomes
@@ -84,13 +91,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class TeamReport:
-  """One row of the demo's table."""
+  """One row of the demo's table.
+
+  Attributes:
+    team: the team.
+    jobs: the number of jobs.
+    complete: jobs whose tasks are all done.
+    failed: all other jobs.
+    fully_answered: jobs whose answer has a code for every task.
+    p50_ms: median response time (ms).
+    p99_ms: 99th percentile of the response time (ms).
+    p50_ratio: median of the response times' ratio to the ideal ones.
+    p99_ratio: 99th percentile of that ratio.
+  """
 
   team: str
   jobs: int
   complete: int
   failed: int
-  whole: int
+  fully_answered: int
   p50_ms: float
   p99_ms: float
   p50_ratio: float
@@ -98,18 +117,20 @@
 
 
 def team_report(team: str, outcomes: list[Outcome]) -> TeamReport:
-  """Summarises one team's outcomes; ratios are to each job's ideal."""
-  mine = [o for o in outcomes if o.job.team == team]
-  times = _histogram(o.elapsed_ms for o in mine)
-  ratios = ratio_histogram(mine)
-  complete = sum(1 for o in mine if o.whole and o.result.answer.complete)
-  whole = sum(1 for o in mine if o.whole)
+  """Summarises one team's outcomes."""
+  of_team = [o for o in outcomes if o.job.team == team]
+  times = _histogram(o.elapsed_ms for o in of_team)
+  ratios = ratio_histogram(of_team)
+  complete = sum(
+      1 for o in of_team if o.fully_answered and o.result.answer.complete
+  )
+  fully_answered = sum(1 for o in of_team if o.fully_answered)
   return TeamReport(
       team=team,
-      jobs=len(mine),
+      jobs=len(of_team),
       complete=complete,
-      failed=len(mine) - complete,
-      whole=whole,
+      failed=len(of_team) - complete,
+      fully_answered=fully_answered,
       p50_ms=times.get_value_at_percentile(50),
       p99_ms=times.get_value_at_percentile(99),
       p50_ratio=ratios.get_value_at_percentile(50) / 100,
@@ -117,8 +138,8 @@
   )
 
 
-async def gather_counts(cluster: launcher.Launcher) -> dict[str, int]:
-  """Sums task sends, forwards and starts over the data centre's daemons."""
+async def sum_counts(cluster: launcher.Launcher) -> dict[str, int]:
+  """Sums task sends, forwarded requests and task starts over all daemons."""
   counts = {"sends": 0, "forwarded": 0, "starts": 0, "duplicate_starts": 0}
   for name in cluster.names("entry"):
     if cluster.alive(name):
@@ -133,8 +154,8 @@
   return counts
 
 
-async def platform_calls(cluster: launcher.Launcher) -> int:
-  """Returns the platform stand-in's total call count so far."""
+async def count_platform_calls(cluster: launcher.Launcher) -> int:
+  """Returns the number of calls that the platform stand-in has served."""
   kv = control.PlatformControl(cluster.platform)
   try:
     return (await kv.stats())["total"]
@@ -150,13 +171,22 @@
     jobs: int,
     resubmits_ok: int,
 ):
-  """Prints the demo's report."""
+  """Prints the demo's report.
+
+  Args:
+    reports: the teams' rows.
+    counts: the daemons' summed counts.
+    tasks: the number of tasks in all jobs.
+    kv_calls: the number of calls to the platform stand-in.
+    jobs: the number of jobs.
+    resubmits_ok: the number of resubmitted jobs that got the same answer.
+  """
   print(
       f"{'team':<12}{'jobs':>6}{'complete':>10}{'failed':>8}{'whole':>7}{'p50 ms':>9}{'p99 ms':>9}{'p50/ideal':>11}{'p99/ideal':>11}"
   )
   for r in reports:
     print(
-        f"{r.team:<12}{r.jobs:>6}{r.complete:>10}{r.failed:>8}{r.whole:>7}{r.p50_ms:>9.0f}{r.p99_ms:>9.0f}{r.p50_ratio:>11.2f}{r.p99_ratio:>11.2f}"
+        f"{r.team:<12}{r.jobs:>6}{r.complete:>10}{r.failed:>8}{r.fully_answered:>7}{r.p50_ms:>9.0f}{r.p99_ms:>9.0f}{r.p50_ratio:>11.2f}{r.p99_ratio:>11.2f}"
     )
   wasted = max(0, counts["sends"] - tasks) + counts["duplicate_starts"]
   print(
@@ -166,7 +196,7 @@
       f"requests passed to another entry host {counts['forwarded']}; KV calls during the run {kv_calls} ({kv_calls / max(1, jobs):.2f} per job, leases and watches included)"
   )
   print(
-      f"resubmitted under the same key: {resubmits_ok}/{RESUBMITTED} got the same answer with no new start"
+      f"resubmitted under the same key: {resubmits_ok}/{RESUBMITTED_JOBS} got the same answer with no new start"
   )
 
 
@@ -175,15 +205,15 @@
   try:
     await cluster.start()
     entries = [
-        httpio.Pool(cluster.procs[n].listen) for n in cluster.names("entry")
+        httpio.Pool(cluster.daemons[n].listen) for n in cluster.names("entry")
     ]
     jobs = workload.make_jobs(seed, per_team, max_tasks)
-    calls_before = await platform_calls(cluster)
+    calls_before = await count_platform_calls(cluster)
     outcomes = await run_jobs(entries, jobs, time.monotonic)
-    kv_calls = await platform_calls(cluster) - calls_before
-    counts = await gather_counts(cluster)
+    kv_calls = await count_platform_calls(cluster) - calls_before
+    counts = await sum_counts(cluster)
     resubmits_ok = await _resubmit(
-        entries, outcomes[:RESUBMITTED], cluster, counts
+        entries, outcomes[:RESUBMITTED_JOBS], cluster, counts
     )
     reports = [
         team_report(t, outcomes)
@@ -191,14 +221,22 @@
     ]
     tasks = sum(len(j.tasks) for j in jobs)
     print_table(reports, counts, tasks, kv_calls, len(jobs), resubmits_ok)
-    all_whole = all(o.whole for o in outcomes) and resubmits_ok == RESUBMITTED
-    return 0 if all_whole else 1
+    all_answered = (
+        all(o.fully_answered for o in outcomes)
+        and resubmits_ok == RESUBMITTED_JOBS
+    )
+    return 0 if all_answered else 1
   finally:
     cluster.stop()
 
 
 async def _resubmit(entries, outcomes: list[Outcome], cluster, counts) -> int:
-  """Resubmits jobs to the other entry host; counts same answers."""
+  """Resubmits jobs to the entry hosts in turn, beginning with the second.
+
+  Returns:
+    The number of jobs that got the same answer again; 0 if any task was started
+    again.
+  """
   same = 0
   for index, outcome in enumerate(outcomes):
     result = await caller.submit(
@@ -206,13 +244,18 @@
     )
     if result.answer == outcome.result.answer:
       same += 1
-  after = await gather_counts(cluster)
+  after = await sum_counts(cluster)
   if after["starts"] != counts["starts"]:
     return 0
   return same
 
 
 def main(per_team: int, max_tasks: int, seed: int) -> int:
-  """Runs the demo; returns 0 only if every job got a whole answer."""
+  """Runs the demo.
+
+  Returns:
+    The exit code: 0 if every job was fully answered and every resubmitted job
+    got the same answer, else 1.
+  """
   with tempfile.TemporaryDirectory(prefix="fescueturn-demo-") as workdir:
     return curio.run(_demo, per_team, max_tasks, seed, workdir)
--- a/fescueturn/lab/faultbench.py
+++ b/fescueturn/lab/faultbench.py
@@ -1,11 +1,11 @@
-"""The fault bench: both teams' jobs while things fail, against the baseline.
-
-Each scenario runs one data centre on loopback under an open load of seeded
-jobs and injects one fault. Callers behave as the brief says: a job whose
-answer is lost is submitted again under its key, to another entry host, and a
-refusal is tried again when it says. Every scenario runs twice, as fescueturn
-is and as the naive dispatcher of `fescueturn.baseline`, and the table sets
-them side by side.
+"""The fault benchmark: both teams' jobs under faults, against the baseline.
+
+Each scenario runs one data centre on loopback under an open-loop load of seeded
+jobs and injects one fault. A caller whose answer is lost submits the job again
+under its key, to an entry host drawn at random; after a refusal it tries again
+when the refusal's retry time is over. Each scenario runs in two modes, with
+fescueturn's own dispatcher and with the naive one of `fescueturn.baseline`, and
+the table shows both.
 """
 
 import dataclasses
@@ -44,30 +44,30 @@
 Fault = Callable[[launcher.Launcher, control.PlatformControl], Awaitable[None]]
 
 
-async def _quiet(lab, kv):
-  del lab, kv
+async def _no_fault(cluster, kv):
+  del cluster, kv
 
 
-def _signalled(name: str, sig: int) -> Fault:
-  """A fault that signals a daemon, then brings it back."""
+def _signal_fault(name: str, sig: int) -> Fault:
+  """Returns a fault that signals a daemon and later restarts or resumes it."""
 
-  async def fault(lab, kv):
+  async def fault(cluster, kv):
     del kv
-    lab.signal(name, sig)
+    cluster.signal(name, sig)
     await curio.sleep(FAULT_FOR_S)
     if sig == signal.SIGSTOP:
-      lab.signal(name, signal.SIGCONT)
+      cluster.signal(name, signal.SIGCONT)
     else:
-      lab.spawn(name)
+      cluster.spawn(name)
 
   return fault
 
 
-def _platform(mode: str) -> Fault:
-  """A fault of the platform stand-in, for a while."""
+def _platform_fault(mode: str) -> Fault:
+  """Returns a fault of the platform stand-in that lasts for `FAULT_FOR_S`."""
 
-  async def fault(lab, kv):
-    del lab
+  async def fault(cluster, kv):
+    del cluster
     await kv.set_fault(mode)
     await curio.sleep(FAULT_FOR_S)
     await kv.set_fault("none")
@@ -75,36 +75,52 @@
   return fault
 
 
-async def _fails_all(lab, kv):
+async def _fail_all_tasks(cluster, kv):
   del kv
-  await _endpoint_fault(lab, "fail_all")
+  await _set_endpoint_fault(cluster, "fail_all")
   await curio.sleep(FAULT_FOR_S)
-  await _endpoint_fault(lab, "none")
+  await _set_endpoint_fault(cluster, "none")
 
 
-async def _endpoint_fault(lab, mode: str):
-  pool = httpio.Pool(lab.procs["endpoint-1"].listen, limit=1)
+async def _set_endpoint_fault(cluster, mode: str):
+  pool = httpio.Pool(cluster.daemons["endpoint-1"].listen, limit=1)
   body = json.dumps({"mode": mode}).encode()
   await pool.request("POST", "/v1/fault", body)
   await pool.close()
 
 
 SCENARIOS: dict[str, Fault] = {
-    "quiet": _quiet,
-    "entry host killed": _signalled("entry-1", signal.SIGKILL),
-    "entry host frozen": _signalled("entry-1", signal.SIGSTOP),
-    "entry host stopped": _signalled("entry-1", signal.SIGTERM),
-    "platform down": _platform("down"),
-    "platform loses replies": _platform("lose_reply"),
-    "endpoint killed": _signalled("endpoint-1", signal.SIGKILL),
-    "endpoint frozen": _signalled("endpoint-1", signal.SIGSTOP),
-    "endpoint fails all": _fails_all,
+    "quiet": _no_fault,
+    "entry host killed": _signal_fault("entry-1", signal.SIGKILL),
+    "entry host frozen": _signal_fault("entry-1", signal.SIGSTOP),
+    "entry host stopped": _signal_fault("entry-1", signal.SIGTERM),
+    "platform down": _platform_fault("down"),
+    "platform loses replies": _platform_fault("lose_reply"),
+    "endpoint killed": _signal_fault("endpoint-1", signal.SIGKILL),
+    "endpoint frozen": _signal_fault("endpoint-1", signal.SIGSTOP),
+    "endpoint fails all": _fail_all_tasks,
 }
 
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-  """One scenario in one mode; times are ratios to each job's ideal."""
+  """The result of one scenario in one mode.
+
+  Attributes:
+    scenario: the scenario's name.
+    mode: the mode's name.
+    jobs: the number of jobs.
+    complete: jobs whose tasks are all done.
+    failed: jobs that were fully answered but are not complete.
+    refused: jobs without a full answer.
+    p50_ratio: median ratio of a complete job's response time to its ideal one.
+    p99_ratio: 99th percentile of that ratio.
+    tasks: the number of tasks in all jobs.
+    starts: the number of task starts.
+    duplicate_starts: the number of repeated starts.
+    false_not_run: tasks answered as not run that an endpoint had started.
+    kv_calls_per_1000_jobs: calls to the platform's store per 1,000 jobs.
+  """
 
   scenario: str
   mode: str
@@ -121,8 +137,10 @@
   kv_calls_per_1000_jobs: float
 
 
-async def _call(pools, rng, job: messages.Job) -> caller.Result | None:
-  """Submits a job until an answer comes, as a client of the brief does."""
+async def _submit_with_retries(
+    pools, rng, job: messages.Job
+) -> caller.Result | None:
+  """Submits a job, repeatedly if its answer is lost or it is refused."""
   result = None
   for _ in range(ATTEMPTS):
     try:
@@ -136,13 +154,13 @@
   return result
 
 
-async def _offer(pools, jobs) -> list[demo.Outcome]:
+async def _run_load(pools, jobs) -> list[demo.Outcome]:
   rng = random.Random(SEED)
   outcomes = []
 
-  async def one(job):
+  async def submit(job):
     started = time.monotonic()
-    result = await _call(pools, rng, job)
+    result = await _submit_with_retries(pools, rng, job)
     elapsed_ms = (time.monotonic() - started) * 1000
     outcomes.append(demo.Outcome(job, result, elapsed_ms))
 
@@ -151,21 +169,21 @@
     for index, job in enumerate(jobs):
       due = start + index / JOBS_PER_S
       await curio.sleep(max(0.0, due - time.monotonic()))
-      await group.spawn(one, job)
+      await group.spawn(submit, job)
   return outcomes
 
 
-async def _starts_by_key(lab) -> dict[str, int]:
+async def _starts_by_key(cluster) -> dict[str, int]:
   total: dict[str, int] = {}
-  for name in lab.names("endpoint"):
-    stats = (await lab.get(name, "/v1/stats")).json()
+  for name in cluster.names("endpoint"):
+    stats = (await cluster.get(name, "/v1/stats")).json()
     for key, count in stats["starts_by_key"].items():
       total[key] = total.get(key, 0) + count
   return total
 
 
 def _false_not_run(outcomes, starts) -> int:
-  """Counts tasks answered "not run" that an endpoint had started."""
+  """Returns the number of tasks answered "not run" that were started."""
   return sum(
       starts.get(f"{o.job.key}/{t.task_id}", 0) > 0
       for o in outcomes
@@ -177,27 +195,31 @@
 
 async def _scenario(scenario: str, mode: str, options: str) -> Row:
   with tempfile.TemporaryDirectory(prefix="fescueturn-faults-") as workdir:
-    lab = launcher.Launcher(workdir, ENTRIES, ENDPOINTS, entry_options=options)
+    cluster = launcher.Launcher(
+        workdir, ENTRIES, ENDPOINTS, entry_options=options
+    )
     try:
-      await lab.start()
-      return await _measure(lab, scenario, mode)
+      await cluster.start()
+      return await _measure(cluster, scenario, mode)
     finally:
-      lab.stop()
+      cluster.stop()
 
 
-async def _measure(lab, scenario: str, mode: str) -> Row:
-  kv = control.PlatformControl(lab.platform)
-  pools = [httpio.Pool(lab.procs[n].listen) for n in lab.names("entry")]
+async def _measure(cluster, scenario: str, mode: str) -> Row:
+  kv = control.PlatformControl(cluster.platform)
+  pools = [
+      httpio.Pool(cluster.daemons[n].listen) for n in cluster.names("entry")
+  ]
   per_team = int(JOBS_PER_S * RUN_S / 2)
   jobs = workload.make_jobs(SEED, per_team, MAX_TASKS, RUN_TIME_SCALE)
   calls = (await kv.stats())["total"]
-  fault = await curio.spawn(_inject, SCENARIOS[scenario], lab, kv)
-  outcomes = await _offer(pools, jobs)
+  fault = await curio.spawn(_inject, SCENARIOS[scenario], cluster, kv)
+  outcomes = await _run_load(pools, jobs)
   await fault.join()
   calls = (await kv.stats())["total"] - calls
   await kv.close()
-  starts = await _starts_by_key(lab)
-  answered = [o for o in outcomes if o.whole]
+  starts = await _starts_by_key(cluster)
+  answered = [o for o in outcomes if o.fully_answered]
   complete = [o for o in answered if o.result.answer.complete]
   ratios = demo.ratio_histogram(complete)
   return Row(
@@ -217,9 +239,9 @@
   )
 
 
-async def _inject(fault: Fault, lab, kv):
+async def _inject(fault: Fault, cluster, kv):
   await curio.sleep(FAULT_AT_S)
-  await fault(lab, kv)
+  await fault(cluster, kv)
 
 
 async def _run(names: list[str]) -> list[Row]:
@@ -231,7 +253,15 @@
 
 
 def run(out_path: str, names: list[str]) -> list[dict]:
-  """Runs the named scenarios in both modes and saves their rows as JSON."""
+  """Runs the named scenarios in both modes.
+
+  Args:
+    out_path: the file to which the rows are written as JSON.
+    names: the scenarios' names.
+
+  Returns:
+    The rows, one by scenario and mode.
+  """
   rows = [dataclasses.asdict(r) for r in curio.run(_run, names)]
   with open(out_path, "w", encoding="utf-8") as file:
     json.dump(rows, file, indent=2)
--- a/fescueturn/lab/hotpath.py
+++ b/fescueturn/lab/hotpath.py
@@ -1,7 +1,8 @@
-"""What a job costs a host beside its I/O: decisions and log lines.
+"""Benchmark of a job's processor time on hosts without I/O.
 
-Figures to set beside each other before and after a change on one machine; they
-say little across machines.
+It measures scheduling decisions and the writing of log lines. Its figures serve
+to compare versions on one machine; figures of different machines can't be
+compared.
 """
 
 import dataclasses
@@ -16,9 +17,9 @@
 from fescueturn.scheduler import events
 from fescueturn.scheduler import host
 
-LINES = 5_000
-# A line as long as those that an offer writes.
-LINE = events.log(
+LINE_COUNT = 5_000
+# As long as a line that is logged for an offer.
+SAMPLE_LINE = events.log(
     "job_offered",
     job="00000000000000a1",
     request="00000000000000b2",
@@ -36,16 +37,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Costs:
-  """What was measured.
+  """The measured costs.
 
   Attributes:
-    jobs: how many jobs were played.
-    runs: how many of their tasks' runs were ordered.
-    us_per_run: processor time a run, all hosts' decisions and the emulated
-      fleet taken together (microseconds).
-    lines_per_job: log lines that decisions on jobs wrote.
-    us_per_line: processor time a line, through the bounded sink
-      (microseconds).
+    jobs: the number of simulated jobs.
+    runs: the number of runs that were started.
+    us_per_run: processor time (us) per run, of all hosts' decisions and the
+      emulated fleet together.
+    lines_per_job: the mean number of log lines with a job event per job.
+    us_per_line: processor time (us) per log line through the bounded sink.
   """
 
   jobs: int
@@ -56,14 +56,14 @@
 
 
 def measure(plan: load.Plan) -> Costs:
-  """Plays a load in virtual time and writes lines to nowhere."""
-  began = time.process_time()
-  made, report = load.simulate_fleet(plan)
-  spent_s = time.process_time() - began
+  """Simulates a load in virtual time and writes log lines to /dev/null."""
+  started_at = time.process_time()
+  fleet, report = load.simulate_fleet(plan)
+  spent_s = time.process_time() - started_at
   jobs = sum(kind.asked for kind in report.kinds)
   lines = sum(
       line.event.startswith("job_")
-      for h in made.hosts.values()
+      for h in fleet.hosts.values()
       for line in h.log
   )
   return Costs(
@@ -76,16 +76,16 @@
 
 
 async def _line_us() -> float:
-  """Returns the processor time (us) of one line through the bounded sink."""
-  nowhere = os.open(os.devnull, os.O_WRONLY)
-  sink = logs.BoundedSink(nowhere, now=lambda: time.monotonic() * 1e6)
+  """Returns the processor time (us) of a log line through the bounded sink."""
+  null_fd = os.open(os.devnull, os.O_WRONLY)
+  sink = logs.BoundedSink(null_fd, now=lambda: time.monotonic() * 1e6)
   logs.replace_sink(sink.write, "bench", "INFO")
   try:
-    began = time.process_time()
-    for _ in range(LINES):
-      await host.write_log(LINE)
-    spent_s = time.process_time() - began
+    started_at = time.process_time()
+    for _ in range(LINE_COUNT):
+      await host.write_log(SAMPLE_LINE)
+    spent_s = time.process_time() - started_at
   finally:
     logger.remove()
-    os.close(nowhere)
-  return 1e6 * spent_s / LINES
+    os.close(null_fd)
+  return 1e6 * spent_s / LINE_COUNT
--- a/fescueturn/lab/launcher.py
+++ b/fescueturn/lab/launcher.py
@@ -1,8 +1,9 @@
-"""Starts a data centre's processes on loopback, for the demo, bench and tests.
+"""Runs a data centre's daemons on loopback for the demo, benchmarks and tests.
 
-This is a tool, not a system process: it writes each daemon's settings file,
-starts each daemon as its own process (``python -m fescueturn ROLE``), waits
-until they see one another, signals them (stop, kill, freeze) and stops them.
+This is a development tool and no part of a deployment. It writes each daemon's
+settings file, starts each daemon as a process of its own (``python -m
+fescueturn ROLE``), waits until the entry hosts see all others, and sends
+signals to the daemons (to stop, kill or freeze them).
 """
 
 import dataclasses
@@ -21,9 +22,9 @@
 from fescueturn.lab import workload
 from fescueturn.platform import store
 
-READY_POLLS = 200
+MAX_READY_POLLS = 200
 READY_POLL_S = 0.05
-STOP_WAIT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 
 TEAM_SETTINGS = {
     workload.ALTAMAHA: "[team]\nservice = speller\nmax_tasks_per_job = 190\nmax_tasks_in_flight = 2000\ndeadline_ms = 15000\n",
@@ -32,8 +33,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Proc:
-  """A started daemon: its name, role, address and settings file."""
+class Daemon:
+  """A daemon of the data centre, started or not.
+
+  Attributes:
+    name: its name.
+    role: the subcommand of fescueturn that runs it.
+    listen: the address at which it serves.
+    settings_path: the path of its settings file.
+  """
 
   name: str
   role: str
@@ -42,7 +50,12 @@
 
 
 class Launcher:
-  """One data centre on loopback; `start` brings it up, `stop` ends it."""
+  """One data centre on loopback.
+
+  Attributes:
+    platform: the platform stand-in's address.
+    daemons: the daemons by name.
+  """
 
   def __init__(
       self,
@@ -55,63 +68,86 @@
       endpoint_drain_s: float = 3.0,
       entry_options: str = "",
   ):
+    """Writes the settings files of all daemons; `start` starts them.
+
+    Args:
+      workdir: the directory of the settings files and logs.
+      entries: the number of entry hosts.
+      endpoints: the number of endpoints.
+      data_centre: the data centre's name.
+      host_list_lag_s: delay (s) with which the platform lists hosts.
+      time_scale: factor on the endpoints' run times.
+      endpoint_drain_s: the endpoints' drain time (s).
+      entry_options: further lines for the [entry] section of the settings.
+    """
     self._workdir = workdir
-    self._dc = data_centre
-    self._lag = host_list_lag_s
+    self._data_centre = data_centre
+    self._host_list_lag_s = host_list_lag_s
     self._time_scale = time_scale
-    self._drain_s = endpoint_drain_s
+    self._endpoint_drain_s = endpoint_drain_s
     self._entry_options = entry_options
     self.platform = ports.free_address()
-    self.procs: dict[str, Proc] = {}
-    self._popen: dict[str, subprocess.Popen] = {}
-    self._plan(entries, endpoints)
+    self.daemons: dict[str, Daemon] = {}
+    self._processes: dict[str, subprocess.Popen] = {}
+    self._write_settings(entries, endpoints)
 
-  def _plan(self, entries: int, endpoints: int):
-    self._add(
+  def _write_settings(self, entries: int, endpoints: int):
+    self._add_daemon(
         "platform",
         "platform",
         self.platform,
-        f"[platform]\nlisten = {self.platform}\nhost_list_lag_s = {self._lag}\n",
+        f"[platform]\nlisten = {self.platform}\nhost_list_lag_s = {self._host_list_lag_s}\n",
     )
     for i in range(1, endpoints + 1):
       listen = ports.free_address()
       body = (
           f"[endpoint]\nlisten = {listen}\nplatform = {self.platform}\n"
-          f"time_scale = {self._time_scale}\ndrain_s = {self._drain_s}\n"
+          f"time_scale = {self._time_scale}\ndrain_s = {self._endpoint_drain_s}\n"
       )
-      self._add(f"endpoint-{i}", "endpoint", listen, body)
+      self._add_daemon(f"endpoint-{i}", "endpoint", listen, body)
     for i in range(1, entries + 1):
       listen, peer = ports.free_address(), ports.free_address()
       body = f"[entry]\nlisten = {listen}\npeer_listen = {peer}\nplatform = {self.platform}\n{self._entry_options}"
-      self._add(f"entry-{i}", "entry", listen, body)
+      self._add_daemon(f"entry-{i}", "entry", listen, body)
 
-  def _add(self, name: str, role: str, listen: settings.Address, body: str):
+  def _add_daemon(
+      self, name: str, role: str, listen: settings.Address, body: str
+  ):
     path = os.path.join(self._workdir, f"{name}.ini")
     with open(path, "w", encoding="utf-8") as file:
-      file.write(f"[process]\nname = {name}\ndata_centre = {self._dc}\n{body}")
-    self.procs[name] = Proc(name, role, listen, path)
+      file.write(
+          f"[process]\nname = {name}\ndata_centre = {self._data_centre}\n{body}"
+      )
+    self.daemons[name] = Daemon(name, role, listen, path)
 
   def names(self, role: str) -> list[str]:
     """Returns the names of the daemons of one role, in order."""
-    return [p.name for p in self.procs.values() if p.role == role]
+    return [p.name for p in self.daemons.values() if p.role == role]
 
   def spawn(self, name: str):
     """Starts (or restarts) one daemon as its own process."""
-    proc = self.procs[name]
+    daemon = self.daemons[name]
     log = open(os.path.join(self._workdir, f"{name}.log"), "ab")
     command = [
         sys.executable,
         "-m",
         "fescueturn",
-        proc.role,
+        daemon.role,
         "--settings",
-        proc.settings_path,
+        daemon.settings_path,
     ]
-    self._popen[name] = subprocess.Popen(command, stdout=log, stderr=log)
+    self._processes[name] = subprocess.Popen(command, stdout=log, stderr=log)
     log.close()
 
   async def start(self, teams: dict[str, str] | None = None):
-    """Starts every daemon, writes team settings, waits until all are ready."""
+    """Starts all daemons, writes team settings and waits until all are ready.
+
+    Args:
+      teams: the teams' settings by team, `TEAM_SETTINGS` if None.
+
+    Raises:
+      RuntimeError: a daemon has exited or did not become ready in time.
+    """
     self.spawn("platform")
     await self._wait_ready("platform", "/test/stats")
     client = self.client()
@@ -130,30 +166,32 @@
     return store.StoreClient(self.platform, time.monotonic)
 
   async def get(self, name: str, path: str) -> httpio.Response:
-    """GETs `path` from a daemon."""
-    pool = httpio.Pool(self.procs[name].listen, limit=1)
+    """Sends a GET request for `path` to a daemon."""
+    pool = httpio.Pool(self.daemons[name].listen, limit=1)
     try:
       return await pool.request("GET", path, timeout_s=5)
     finally:
       await pool.close()
 
   async def _wait_ready(self, name: str, path: str, check=lambda body: True):
-    seen = "no answer"
-    for _ in range(READY_POLLS):
+    last_reply = "no answer"
+    for _ in range(MAX_READY_POLLS):
       try:
         response = await self.get(name, path)
-        seen = response.body.decode()
+        last_reply = response.body.decode()
         if response.status == 200 and check(response.json()):
           return
       except (httpio.NotSentError, httpio.LostReplyError):
         pass
-      if self._popen[name].poll() is not None:
-        raise RuntimeError(f"{name} exited with {self._popen[name].returncode}")
+      if self._processes[name].poll() is not None:
+        raise RuntimeError(
+            f"{name} exited with {self._processes[name].returncode}"
+        )
       await curio.sleep(READY_POLL_S)
-    raise RuntimeError(f"{name} not ready: {seen}")
+    raise RuntimeError(f"{name} not ready: {last_reply}")
 
   async def wait_entry_ready(self, name: str):
-    """Waits until an entry host sees every entry host and endpoint."""
+    """Waits until an entry host sees all running entry hosts and endpoints."""
     members = sum(self.alive(n) for n in self.names("entry"))
     endpoints = len(self.names("endpoint"))
 
@@ -168,44 +206,49 @@
     await self._wait_ready(name, "/health", ready)
 
   def signal(self, name: str, sig: int):
-    """Sends a signal to one daemon (SIGTERM stops, SIGKILL kills, SIGSTOP freezes).
+    """Sends a signal to a daemon.
+
+    After SIGKILL it returns only when the process has ended: the system closes
+    a killed process's connections before the process counts as ended, and in
+    between it must not be taken for a running one.
 
-    A killed daemon is gone when this returns: its connections are closed before
-    it counts as ended, and it must not be taken for a living one in between.
+    Args:
+      name: the daemon's name.
+      sig: the signal: SIGTERM stops, SIGKILL kills and SIGSTOP freezes it.
     """
-    self._popen[name].send_signal(sig)
+    self._processes[name].send_signal(sig)
     if sig == signal.SIGKILL:
-      self._popen[name].wait(STOP_WAIT_S)
+      self._processes[name].wait(STOP_TIMEOUT_S)
 
-  def wait(self, name: str, timeout_s: float = STOP_WAIT_S) -> int:
-    """Waits for one daemon to exit; returns its exit code."""
-    return self._popen[name].wait(timeout_s)
+  def wait(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
+    """Waits until a daemon exits; returns its exit code."""
+    return self._processes[name].wait(timeout_s)
 
   def pid(self, name: str) -> int:
     """Returns the process id of a started daemon."""
-    return self._popen[name].pid
+    return self._processes[name].pid
 
   def alive(self, name: str) -> bool:
-    """Tells whether a daemon's process is still running."""
-    return name in self._popen and self._popen[name].poll() is None
+    """Returns True if a daemon's process is running."""
+    return name in self._processes and self._processes[name].poll() is None
 
   def stop(self):
-    """Stops every daemon, entry hosts first and the platform last.
+    """Stops all daemons: first entry hosts, then endpoints, then the platform.
 
-    Each gets SIGTERM (after SIGCONT, should it be frozen), then SIGKILL if
-    it has not ended within the wait.
+    Each daemon gets SIGCONT, since it may be frozen, and SIGTERM; if it has not
+    exited within `STOP_TIMEOUT_S`, it gets SIGKILL.
     """
     for group in (self.names("entry"), self.names("endpoint"), ["platform"]):
       for name in group:
         if self.alive(name):
-          self._popen[name].send_signal(signal.SIGCONT)
-          self._popen[name].send_signal(signal.SIGTERM)
+          self._processes[name].send_signal(signal.SIGCONT)
+          self._processes[name].send_signal(signal.SIGTERM)
       for name in group:
-        popen = self._popen.get(name)
-        if popen is None:
+        process = self._processes.get(name)
+        if process is None:
           continue
         try:
-          popen.wait(STOP_WAIT_S)
+          process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-          popen.kill()
-          popen.wait()
+          process.kill()
+          process.wait()
--- a/fescueturn/lab/ports.py
+++ b/fescueturn/lab/ports.py
@@ -1,4 +1,4 @@
-"""Free TCP ports on loopback, for processes that are started later."""
+"""Allocates TCP ports on loopback for processes that are started later."""
 
 import contextlib
 import random
@@ -7,15 +7,15 @@
 from fescueturn import settings
 
 LOOPBACK = "127.0.0.1"
-# Below the range from which the system gives outgoing connections their ports, so
-# that none of these takes one before its server is started.
-FIRST, LAST = 20_000, 32_000
+# The range lies below the system's ephemeral ports, so that no outgoing
+# connection can take a port before the server for it has started.
+FIRST_PORT, LAST_PORT = 20_000, 32_000
 
-_taken: set[int] = set()
+_allocated: set[int] = set()
 
 
 def is_free(port: int) -> bool:
-  """Returns whether nothing listens on a port now."""
+  """Returns True if a server can bind the port now."""
   with contextlib.closing(socket.socket()) as sock:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -26,16 +26,16 @@
 
 
 def free_ports(count: int) -> list[int]:
-  """Returns ports in a row that are free and were never returned before."""
+  """Returns `count` consecutive free ports that were not returned before."""
   while True:
-    first = random.randrange(FIRST, LAST - count)
+    first = random.randrange(FIRST_PORT, LAST_PORT - count)
     ports = list(range(first, first + count))
-    if _taken.isdisjoint(ports) and all(is_free(port) for port in ports):
-      _taken.update(ports)
+    if _allocated.isdisjoint(ports) and all(is_free(port) for port in ports):
+      _allocated.update(ports)
       return ports
 
 
 def free_address() -> settings.Address:
-  """Returns an address on loopback with a port of its own."""
+  """Returns a loopback address with a free port of its own."""
   (port,) = free_ports(1)
   return settings.Address(LOOPBACK, port)
--- a/fescueturn/lab/workload.py
+++ b/fescueturn/lab/workload.py
@@ -1,9 +1,9 @@
-"""Seeded workloads for the demo and the bench: both teams' jobs.
+"""Seeded workloads of both teams' jobs, for the demo and the fault benchmark.
 
-Altamaha's jobs check pupils' sentences for spelling; the Consortium's jobs
-mix quote checks, fuel releases (not idempotent) and cancellations. Declared
-run times follow the brief's mix: most between 50 ms and 1 s, a few of
-several seconds.
+Altamaha's jobs check the spelling of pupils' sentences. The Consortium's jobs
+are a mix of quote checks, fuel releases (not idempotent) and cancellations.
+Most declared run times are between 50 ms and 1 s, a few are several seconds, as
+the teams have specified.
 """
 
 import random
@@ -32,23 +32,23 @@
 
 
 def run_ms(rng: random.Random, scale: float = 1.0) -> int:
-  """Returns a declared run time in ms from the brief's mix, times `scale`."""
+  """Returns a random declared run time (ms), multiplied by `scale`."""
   low, high = LONG_RUN_MS if rng.random() < LONG_SHARE else SHORT_RUN_MS
   return max(1, int(rng.uniform(low, high) * scale))
 
 
-def _typo(rng: random.Random, sentence: str) -> str:
+def _with_typo(rng: random.Random, sentence: str) -> str:
   words = sentence.split()
   index = rng.randrange(len(words))
   word = words[index]
   if len(word) > 3:
-    cut = rng.randrange(1, len(word) - 1)
-    words[index] = word[:cut] + word[cut + 1 :]
+    dropped = rng.randrange(1, len(word) - 1)
+    words[index] = word[:dropped] + word[dropped + 1 :]
   return " ".join(words)
 
 
 def _spelling_task(rng, index: int, scale: float) -> messages.Task:
-  sentence = _typo(rng, rng.choice(SENTENCES))
+  sentence = _with_typo(rng, rng.choice(SENTENCES))
   return messages.Task(f"t{index}", "spell", sentence, run_ms(rng, scale))
 
 
@@ -68,7 +68,7 @@
     max_tasks: int,
     scale: float = 1.0,
 ) -> messages.Job:
-  """Returns one seeded job for `team` with 1 to `max_tasks` tasks."""
+  """Returns a random job for `team` with 1 to `max_tasks` tasks."""
   count = rng.randint(1, max_tasks)
   make = _spelling_task if team == ALTAMAHA else _uplift_task
   tasks = tuple(make(rng, i, scale) for i in range(count))
@@ -83,7 +83,7 @@
 def make_jobs(
     seed: int, per_team: int, max_tasks: int, scale: float = 1.0
 ) -> list[messages.Job]:
-  """Returns both teams' jobs, interleaved, from one seed."""
+  """Returns `per_team` jobs for each team, alternating between the teams."""
   rng = random.Random(seed)
   jobs = []
   for number in range(per_team):
@@ -93,5 +93,5 @@
 
 
 def ideal_ms(job: messages.Job, round_trip_ms: float) -> float:
-  """The ideal response time: the job's longest task plus one round trip."""
+  """Returns the ideal response time (ms): the longest task and a round trip."""
   return max(t.run_ms for t in job.tasks) + round_trip_ms
--- a/fescueturn/platform/callers.py
+++ b/fescueturn/platform/callers.py
@@ -154,7 +154,7 @@
         max_body=limits.body_bytes,
         idle_s=limits.idle_ms / 1000,
         read_s=limits.header_ms / 1000 + BODY_S,
-        until_closed=True,
+        cancel_on_disconnect=True,
     )
 
   async def handle(self, request: httpio.Request) -> httpio.Response:
@@ -166,7 +166,7 @@
     response = await self._route(request)
     state = self._host.state
     if state.draining or not state.coordinator.serves:
-      return httpio.closing(response)
+      return httpio.with_connection_close(response)
     return response
 
   async def _route(self, request: httpio.Request) -> httpio.Response:
--- a/fescueturn/platform/claims.py
+++ b/fescueturn/platform/claims.py
@@ -180,7 +180,7 @@
       if self._lease is None or not self._owning.is_set():
         continue
       try:
-        await self._client.keep(self._lease)
+        await self._client.keep_alive(self._lease)
       except kvtypes.LeaseGoneError:
         logger.warning("event=lease_gone lease={}", self._lease)
         self._lease = None
--- a/fescueturn/platform/endpoints.py
+++ b/fescueturn/platform/endpoints.py
@@ -335,7 +335,7 @@
           endpoint.address,
           limit=MAX_CONNECTIONS,
           connect_s=CONNECT_TIMEOUT_S,
-          prepare=listener.impatient,
+          prepare=listener.enable_dead_peer_detection,
       )
     return pool
 
--- a/fescueturn/platform/store.py
+++ b/fescueturn/platform/store.py
@@ -70,7 +70,7 @@
       address,
       limit=limit,
       connect_s=CONNECT_TIMEOUT_S,
-      prepare=listener.impatient,
+      prepare=listener.enable_dead_peer_detection,
   )
 
 
@@ -210,12 +210,12 @@
     response = await self._call("POST", "/-/kv-lease", body={"ttlMs": ttl_ms})
     return _decode(wire.lease_replies, response, "/-/kv-lease").lease
 
-  async def keep(self, lease: int):
+  async def keep_alive(self, lease: int):
     """Renews a lease; raises `kvtypes.LeaseGoneError` once it has ended."""
     response = await self._call("POST", f"/-/kv-keep/{lease}")
     if response.status == 404:
       raise kvtypes.LeaseGoneError(str(lease))
 
-  async def end(self, lease: int):
+  async def revoke(self, lease: int):
     """Ends a lease; its keys are removed."""
     await self._call("DELETE", f"/-/kv-lease-end/{lease}")
--- a/fescueturn/platform/wireserver.py
+++ b/fescueturn/platform/wireserver.py
@@ -39,10 +39,10 @@
   def grant(self, ttl_s: float, now: float) -> int:
     """Returns a new lease."""
 
-  def keep(self, lease: int, now: float) -> bool:
+  def keep_alive(self, lease: int, now: float) -> bool:
     """Renews a lease."""
 
-  def end(self, lease: int) -> bool:
+  def revoke(self, lease: int) -> bool:
     """Ends a lease."""
 
 
@@ -144,11 +144,11 @@
     return httpio.json_response(200, answer)
 
   async def _keep(self, call: dict) -> httpio.Response:
-    kept = self._store.keep(int(call["argument"]), self._now())
+    kept = self._store.keep_alive(int(call["argument"]), self._now())
     return httpio.json_response(200 if kept else 404, {})
 
   async def _end(self, call: dict) -> httpio.Response:
-    ended = self._store.end(int(call["argument"]))
+    ended = self._store.revoke(int(call["argument"]))
     await self.notify_watches()
     return httpio.json_response(200 if ended else 404, {})
 
--- a/fescueturn/scheduler/link.py
+++ b/fescueturn/scheduler/link.py
@@ -105,7 +105,7 @@
       await outbox.close()
 
   async def _serve(self, sock):
-    listener.impatient(sock)
+    listener.enable_dead_peer_detection(sock)
     outbox = _Outbox(sock)
     process = None
     try:
@@ -188,7 +188,7 @@
       logger.debug("event=link_failed peer={} error={!r}", self._address, exc)
       await self._on_lost(isinstance(exc, ConnectionRefusedError))
       return
-    listener.impatient(sock)
+    listener.enable_dead_peer_detection(sock)
     outbox = _Outbox(sock)
     await outbox.start()
     await outbox.put(linkcodec.encode(_HELLO_SHARD, linkcodec.Hello(self._me)))
--- a/fescueturn/standins/control.py
+++ b/fescueturn/standins/control.py
@@ -36,6 +36,6 @@
     await self._post("/test/put", {"key": key, "text": text})
 
   async def stats(self) -> dict:
-    """Returns the number of calls by name, their total, and bytes in and out."""
+    """Returns call counts by name, their total, and bytes in and out."""
     response = await self._pool.request("GET", "/test/stats")
     return response.json()
--- a/fescueturn/standins/kvstore.py
+++ b/fescueturn/standins/kvstore.py
@@ -106,14 +106,14 @@
     self._lease_ttl_s[lease] = ttl_s
     return lease
 
-  def keep(self, lease: int, now: float) -> bool:
+  def keep_alive(self, lease: int, now: float) -> bool:
     """Renews a lease; returns False if it has already ended."""
     if lease not in self._lease_ends:
       return False
     self._lease_ends[lease] = now + self._lease_ttl_s[lease]
     return True
 
-  def end(self, lease: int) -> bool:
+  def revoke(self, lease: int) -> bool:
     """Ends a lease and deletes its keys.
 
     Returns:
@@ -133,7 +133,7 @@
         lease for lease, until in self._lease_ends.items() if until <= now
     ]
     for lease in expired:
-      self.end(lease)
+      self.revoke(lease)
     return len(expired)
 
 
--- a/fescueturn/standins/standin_platform.py
+++ b/fescueturn/standins/standin_platform.py
@@ -1,10 +1,11 @@
 """The platform stand-in daemon: a key-value service like the platform's.
 
 It serves the platform's protocol (`platform.wireserver`) and counts all calls
-(a waiting watch as one). Tests can set a fault: ``down`` (all calls, also waiting
-watches, are answered with 503, while leases still expire), ``slow`` (each call
-is delayed) or ``lose_reply`` (writes are applied, then the connection is closed
-without a reply). The list under `kvtypes.HOSTS_PREFIX` lags behind.
+(a waiting watch as one). Tests can set a fault: ``down`` (all calls, also
+waiting watches, are answered with 503, while leases still expire), ``slow``
+(each call is delayed) or ``lose_reply`` (writes are applied, then the
+connection is closed without a reply). The list under `kvtypes.HOSTS_PREFIX`
+lags behind.
 
 Its test paths, for tests and benchmarks (see `control`):
   POST /test/fault {mode, slow_ms?}     GET /test/stats
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -60,7 +60,7 @@
 
 
 def pool(lab, name):
-  return httpio.Pool(lab.procs[name].listen)
+  return httpio.Pool(lab.daemons[name].listen)
 
 
 async def stats(lab, name):
--- a/tests/test_hotpath.py
+++ b/tests/test_hotpath.py
@@ -2,8 +2,8 @@
 from fescueturn.lab import hotpath
 
 
-def test_a_job_writes_few_lines_on_a_calm_day():
-  """An offer, its begin and its answer; some are offered more than once."""
+def test_a_job_logs_few_lines_under_light_load():
+  """A job logs its offer, its start and its answer; some are offered again."""
   costs = hotpath.measure(load.Plan(seconds=3, jobs_per_s=50))
   assert costs.jobs == 150
   assert 3.0 <= costs.lines_per_job <= 4.0
--- a/tests/test_kvstore.py
+++ b/tests/test_kvstore.py
@@ -39,12 +39,12 @@
   store = kvstore.KvStore()
   lease = store.grant(1.0, now=10.0)
   store.put("/m/x", b"addr", lease)
-  assert store.keep(lease, now=10.5)
+  assert store.keep_alive(lease, now=10.5)
   assert store.expire(now=11.4) == 0
   assert store.expire(now=11.6) == 1
   assert store.get("/m/x") is None
   assert store.changes("/m/", 0)[-1].value is None
-  assert not store.keep(lease, now=11.7)
+  assert not store.keep_alive(lease, now=11.7)
   with pytest.raises(kvtypes.LeaseGoneError):
     store.put("/m/y", b"addr", lease)
 
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -78,11 +78,11 @@
   async def body(kv, platform_control):
     del platform_control
     lease = await kv.grant(60_000)
-    await kv.keep(lease)
+    await kv.keep_alive(lease)
     await kv.transact(kvtypes.Transaction(puts={"/m/x": b"1"}, lease=lease))
-    await kv.end(lease)
+    await kv.revoke(lease)
     with pytest.raises(kvtypes.LeaseGoneError):
-      await kv.keep(lease)
+      await kv.keep_alive(lease)
     return await kv.range("/m/")
 
   assert curio.run(with_platform, body).items == ()
