--- a/fescueturn/entry.py
+++ b/fescueturn/entry.py
@@ -184,7 +184,7 @@
         "draining": state.draining,
         "members": len(state.membership.members),
         "view": view.digest if view else 0,
-        "ready": state.membership.may_hold(self._timer.now())
+        "ready": state.membership.may_accept_claims(self._timer.now())
         and state.membership.sync is None,
         "endpoints": state.endpoints.usable_count(),
         "teams": sum(1 for t in state.teams.values() if t.team_settings),
--- a/fescueturn/lab/demo.py
+++ b/fescueturn/lab/demo.py
@@ -56,7 +56,7 @@
   limit = curio.Semaphore(CONCURRENT_JOBS)
   outcomes: list[Outcome] = []
 
-  async def submit(index: int, job: messages.Job):
+  async def submit_job(index: int, job: messages.Job):
     async with limit:
       started = clock()
       result = None
@@ -68,7 +68,7 @@
 
   async with curio.TaskGroup() as group:
     for index, job in enumerate(jobs):
-      await group.spawn(submit, index, job)
+      await group.spawn(submit_job, index, job)
   return outcomes
 
 
--- a/fescueturn/lab/faultbench.py
+++ b/fescueturn/lab/faultbench.py
@@ -2,8 +2,8 @@
 
 Each scenario runs one data centre on loopback under an open-loop load of seeded
 jobs and injects one fault. A caller whose answer is lost submits the job again
-under its key, to an entry host drawn at random; after a refusal it tries again
-when the refusal's retry time is over. Each scenario runs in two modes, with
+under its key, to an entry host drawn at random; after a refusal it waits for the
+given retry time and tries again. Each scenario runs in two modes, with
 fescueturn's own dispatcher and with the naive one of `fescueturn.baseline`, and
 the table shows both.
 """
@@ -158,7 +158,7 @@
   rng = random.Random(SEED)
   outcomes = []
 
-  async def submit(job):
+  async def submit_job(job):
     started = time.monotonic()
     result = await _submit_with_retries(pools, rng, job)
     elapsed_ms = (time.monotonic() - started) * 1000
@@ -169,7 +169,7 @@
     for index, job in enumerate(jobs):
       due = start + index / JOBS_PER_S
       await curio.sleep(max(0.0, due - time.monotonic()))
-      await group.spawn(submit, job)
+      await group.spawn(submit_job, job)
   return outcomes
 
 
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -28,7 +28,7 @@
   claim = request.claim
   if membership.view is None or request.view != membership.view.digest:
     return claims.ClaimReply(claims.Verdict.STALE_VIEW)
-  if not membership.may_hold(state.now):
+  if not membership.may_accept_claims(state.now):
     return claims.ClaimReply(claims.Verdict.NOT_READY)
   trusted = membership.trusts(claim.key)
   held = state.claims.by_others(claim.key, claim.owner)
--- a/fescueturn/scheduler/admission.py
+++ b/fescueturn/scheduler/admission.py
@@ -21,7 +21,7 @@
 WAIT_SHARE = 1.0
 # A task whose estimate has passed is expected to end this soon: it has been
 # underestimated, and most of these end within a third of the estimate more.
-RENEWAL_OVERDUE_SHARE = 0.2
+OVERDUE_SHARE = 0.2
 
 
 # A step wider than this part of all places is expected to run in waves, and
@@ -86,7 +86,7 @@
     times += [now] * _free_at(record, need)
     for run in record.runs.values():
       end = run.expected_end(record.slowness)
-      soon = now + RENEWAL_OVERDUE_SHARE * run.estimate_ms / 1000
+      soon = now + OVERDUE_SHARE * run.estimate_ms / 1000
       times.append(max(end, soon))
   times.sort()
   return times
--- a/fescueturn/scheduler/endpointstate.py
+++ b/fescueturn/scheduler/endpointstate.py
@@ -48,7 +48,7 @@
 FORGET_S = 15.0
 # Weight of the newest run in an endpoint's slowness: some eight runs, one
 # to two seconds of work, settle it.
-SLOWNESS_WEIGHT = 0.25
+SLOWNESS_GAIN = 0.25
 
 
 # A run that shows so many times its estimate is slowed by its endpoint: estimates
@@ -345,7 +345,7 @@
       ratio = took / run.estimate_ms
       if ratio < SLOW_RATIO:
         self._slow_jobs.clear()
-      self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
+      self.slowness += SLOWNESS_GAIN * (ratio - self.slowness)
 
   def record_slow_run(self, run: Run, ratio: float) -> bool:
     """Notes a run that is slowed; returns whether that is new of the endpoint."""
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -121,7 +121,7 @@
     """True when the lease is over by this host's own clock."""
     return now >= self.lease_until
 
-  def may_hold(self, now: float) -> bool:
+  def may_accept_claims(self, now: float) -> bool:
     """Tells whether this host may accept claims at `now`.
 
     It must be a member, with a lease or every peer's promise in force; and
@@ -145,7 +145,7 @@
     return {
         "view": f"{self.view.digest:016x}" if self.view else None,
         "is_member": self.is_member,
-        "may_hold": self.may_hold(now),
+        "may_hold": self.may_accept_claims(now),
         "lease": self.lease,
         "lease_left_s": round(self.lease_until - now, 3),
         "promise_left_s": round(max(0.0, self.promised_until - now), 3),
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -36,10 +36,10 @@
     self.store = {}
     self.views = collections.defaultdict(list)
     self.in_transit = []
-    self.asked = {}
+    self.senders = {}
     self.starts = collections.Counter()
     self.outcomes = {}
-    self.partitions = set()
+    self.broken_links = set()
     self.racks = {}
     self._ids = iter(range(1, 10**6))
     self._finish = finish_tasks
@@ -138,7 +138,7 @@
     """Delivers one letter, or its reply, or news that its host is dead."""
     letter = self.in_transit.pop(index)
     target = letter.effect.member.name
-    if frozenset((letter.source, target)) in self.partitions:
+    if frozenset((letter.source, target)) in self.broken_links:
       self._lost(letter)
     elif letter.reply is not None:
       self._back(
@@ -171,7 +171,7 @@
     number = next(self._ids)
     name = letter.effect.member.name
     if isinstance(letter.effect, events.SendPeerRequest):
-      self.asked[number] = letter
+      self.senders[number] = letter
     self._apply(name, events.PeerRequestReceived(number, letter.effect.message))
 
   def _lost(self, letter):
@@ -197,7 +197,7 @@
 
   def _answered(self, effect):
     reply = effect.reply if hasattr(effect, "reply") else effect.outcome
-    letter = self.asked.pop(effect.request_id, None)
+    letter = self.senders.pop(effect.request_id, None)
     if letter is not None:
       self.in_transit.append(dataclasses.replace(letter, reply=reply))
     else:
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -223,7 +223,7 @@
   while peers.in_transit:
     peers.deliver(0)
   assert not any(peers.hosts[n].membership.promises for n in "bc")
-  assert not peers.hosts["a"].membership.may_hold(peers.now)
+  assert not peers.hosts["a"].membership.may_accept_claims(peers.now)
   peers.expire_member("a")
   peers.run_until_idle(5)
   done = peers.submit("b")
@@ -238,7 +238,7 @@
     peers.put_member(name, lease_s=fakepeers.TTL_S)
   peers.run_until_idle(2)
   # a and b lose the platform and c, but not each other.
-  peers.partitions = {frozenset("ac"), frozenset("bc")}
+  peers.broken_links = {frozenset("ac"), frozenset("bc")}
   peers.expire_member("a")
   peers.expire_member("b")
   while peers.views["c"]:
