--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -64,14 +64,14 @@
 
   def __init__(self, view: views.View, asked: tuple[str, ...]):
     self.view = view
-    self.asked = asked
+    self.holders = asked
     self.replies: dict[str, claims.ClaimReply | None] = {}
     self.dead: set[str] = set()
 
   @property
   def complete(self) -> bool:
     """True when every holder asked has answered or is known dead."""
-    return len(self.replies) == len(self.asked)
+    return len(self.replies) == len(self.holders)
 
 
 @dataclasses.dataclass(frozen=True)
