--- a/fescueturn/dispatch.py
+++ b/fescueturn/dispatch.py
@@ -53,10 +53,10 @@
 
 
 def _send(state, record, task_id: str, endpoint) -> events.SendTask:
-  state.endpoints.started(endpoint.name)
+  state.endpoints.record_start(endpoint.name)
   state.queue.busy[record.job.team] += 1
   state.counters["sends"] += 1
-  record.in_flight[task_id] = state_lib.Sent(endpoint.name, state.now)
+  record.in_flight[task_id] = state_lib.InFlightTask(endpoint.name, state.now)
   return events.SendTask(
       key=record.job.key,
       team=record.job.team,
@@ -72,9 +72,9 @@
   return OVERDUE_FACTOR * longest_ms / 1000 + OVERDUE_EXTRA_S
 
 
-def watch_overdue(state, record):
+def schedule_overdue_check(state, record):
   """Looks, in a while, for tasks of the job that take much too long."""
-  state.at(
+  state.schedule(
       state.now + _patience_s(record.job), lambda s: _check_overdue(s, record)
   )
 
@@ -83,20 +83,20 @@
   """Leaves out endpoints that sit on a task much longer than declared."""
   late = state.now - _patience_s(record.job)
   for sent in record.in_flight.values():
-    if sent.at <= late:
-      state.endpoints.unreachable(sent.endpoint, state.now)
+    if sent.sent_at <= late:
+      state.endpoints.mark_unreachable(sent.endpoint, state.now)
   if not record.done or record.in_flight:
-    watch_overdue(state, record)
+    schedule_overdue_check(state, record)
   return []
 
 
-def note_health(state, record, event: events.TaskFinished):
+def record_task_outcome(state, record, event: events.TaskFinished):
   """Tells the endpoint table how one of the job's tasks went."""
   table = state.endpoints
   if event.code == codes.Code.TASK_DONE:
     declared_ms = record.tasks[event.task_id].run_ms
-    table.succeeded(event.endpoint, event.elapsed_ms, declared_ms)
+    table.record_success(event.endpoint, event.elapsed_ms, declared_ms)
   elif event.code == codes.Code.TASK_NOT_RUN:
-    table.unreachable(event.endpoint, state.now)
+    table.mark_unreachable(event.endpoint, state.now)
   elif event.code in (codes.Code.TASK_FAILED, codes.Code.TASK_UNKNOWN_LOST):
-    table.failed(event.endpoint, event.key, state.now)
+    table.record_failure(event.endpoint, event.key, state.now)
--- a/fescueturn/lab/launcher.py
+++ b/fescueturn/lab/launcher.py
@@ -21,9 +21,9 @@
 from fescueturn.lab import workload
 from fescueturn.platform import store
 
-READY_POLLS = 200
+MAX_READY_POLLS = 200
 READY_POLL_S = 0.05
-STOP_WAIT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 
 TEAM_SETTINGS = {
     workload.ALTAMAHA: "[team]\nservice = speller\nmax_tasks_per_job = 190\nmax_tasks_in_flight = 2000\ndeadline_ms = 15000\n",
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Proc:
+class Daemon:
   """A started daemon: its name, role, address and settings file."""
 
   name: str
@@ -62,7 +62,7 @@
     self._drain_s = endpoint_drain_s
     self._entry_options = entry_options
     self.platform = ports.free_address()
-    self.procs: dict[str, Proc] = {}
+    self.daemons: dict[str, Daemon] = {}
     self._popen: dict[str, subprocess.Popen] = {}
     self._plan(entries, endpoints)
 
@@ -89,15 +89,15 @@
     path = os.path.join(self._workdir, f"{name}.ini")
     with open(path, "w", encoding="utf-8") as file:
       file.write(f"[process]\nname = {name}\ndata_centre = {self._dc}\n{body}")
-    self.procs[name] = Proc(name, role, listen, path)
+    self.daemons[name] = Daemon(name, role, listen, path)
 
   def names(self, role: str) -> list[str]:
     """Returns the names of the daemons of one role, in order."""
-    return [p.name for p in self.procs.values() if p.role == role]
+    return [p.name for p in self.daemons.values() if p.role == role]
 
   def spawn(self, name: str):
     """Starts (or restarts) one daemon as its own process."""
-    proc = self.procs[name]
+    proc = self.daemons[name]
     log = open(os.path.join(self._workdir, f"{name}.log"), "ab")
     command = [
         sys.executable,
@@ -131,7 +131,7 @@
 
   async def get(self, name: str, path: str) -> httpio.Response:
     """GETs `path` from a daemon."""
-    pool = httpio.Pool(self.procs[name].listen, limit=1)
+    pool = httpio.Pool(self.daemons[name].listen, limit=1)
     try:
       return await pool.request("GET", path, timeout_s=5)
     finally:
@@ -139,7 +139,7 @@
 
   async def _wait_ready(self, name: str, path: str, check=lambda body: True):
     seen = "no answer"
-    for _ in range(READY_POLLS):
+    for _ in range(MAX_READY_POLLS):
       try:
         response = await self.get(name, path)
         seen = response.body.decode()
@@ -175,9 +175,9 @@
     """
     self._popen[name].send_signal(sig)
     if sig == signal.SIGKILL:
-      self._popen[name].wait(STOP_WAIT_S)
+      self._popen[name].wait(STOP_TIMEOUT_S)
 
-  def wait(self, name: str, timeout_s: float = STOP_WAIT_S) -> int:
+  def wait(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
     """Waits for one daemon to exit; returns its exit code."""
     return self._popen[name].wait(timeout_s)
 
@@ -205,7 +205,7 @@
         if popen is None:
           continue
         try:
-          popen.wait(STOP_WAIT_S)
+          popen.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
           popen.kill()
           popen.wait()
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -25,7 +25,7 @@
   assert kinds(sends) == ["SendTask", "SendTask"]
   assert finish(state, sends[0]) == []
   replies = finish(state, sends[1])
-  assert kinds(replies) == ["Settle"]
+  assert kinds(replies) == ["SendOutcome"]
   assert replies[0].outcome.answer.code == codes.Code.JOB_COMPLETE
   assert [t.task_id for t in replies[0].outcome.answer.tasks] == ["t0", "t1"]
 
@@ -50,7 +50,7 @@
   assert sorted(r.request_id for r in replies) == [1, 2]
   again = reducer.reduce(state, events.JobArrived(3, job))
   assert (
-      kinds(again) == ["Settle"]
+      kinds(again) == ["SendOutcome"]
       and again[0].outcome.answer == replies[0].outcome.answer
   )
 
@@ -60,7 +60,7 @@
   effects = reducer.reduce(
       state, events.JobArrived(2, conftest.make_job(payload="b"))
   )
-  assert kinds(effects) == ["Settle"]
+  assert kinds(effects) == ["SendOutcome"]
   assert effects[0].outcome.error.code == codes.Code.KEY_REUSED
 
 
@@ -104,7 +104,7 @@
       state, events.JobArrived(1, conftest.make_job(tasks=1, idempotent=False))
   )
   replies = finish(state, sends[0], codes.Code.TASK_UNKNOWN_LOST)
-  assert kinds(replies) == ["Settle"]
+  assert kinds(replies) == ["SendOutcome"]
   assert replies[0].outcome.answer.tasks[0].ran == codes.Ran.UNKNOWN
   assert state.counters["sends"] == 1
 
@@ -114,7 +114,7 @@
   reducer.reduce(state, events.JobArrived(1, conftest.make_job(tasks=5)))
   assert reducer.reduce(state, events.Tick(100.5)) == []
   replies = reducer.reduce(state, events.Tick(101.0))
-  assert kinds(replies) == ["Settle"]
+  assert kinds(replies) == ["SendOutcome"]
   assert replies[0].outcome.answer.retry_after_s == 1
   codes_seen = {t.code for t in replies[0].outcome.answer.tasks}
   assert codes_seen == {
@@ -164,7 +164,7 @@
   )
   assert refused[0].outcome.error.code == codes.Code.DRAINING
   effects = finish(state, sends[0])
-  assert kinds(effects) == ["Settle", "Drained"]
+  assert kinds(effects) == ["SendOutcome", "Drained"]
 
 
 def test_quota_holds_tasks_until_slots_free(state):
