--- a/fescueturn/answers.py
+++ b/fescueturn/answers.py
@@ -1,4 +1,4 @@
-"""Whole answers to jobs: complete, given up, cancelled or of unknown fate."""
+"""Builds job answers: complete, ended early, cancelled, or owner lost."""
 
 from fescueturn import codes
 from fescueturn import messages
@@ -6,7 +6,7 @@
 
 
 def completed(record: state_lib.JobRecord) -> messages.JobAnswer:
-  """Returns the answer of a job whose every task gave its result."""
+  """Returns the answer of a job all of whose tasks returned a result."""
   job = record.job
   return messages.JobAnswer(
       key=job.key,
@@ -19,13 +19,13 @@
 def incomplete(
     record: state_lib.JobRecord, not_run: codes.Code, retry_after_s: int
 ) -> messages.JobAnswer:
-  """Returns the answer of a job that ends now.
+  """Returns the answer of a job that ends before all its tasks are done.
 
   Args:
-    record: the job; tasks answered keep their answers, tasks in flight are
-      of unknown fate.
-    not_run: the code of tasks that were never sent.
-    retry_after_s: when the caller may come back, in seconds.
+    record: the job; answered tasks keep their answers, and tasks in flight get
+      TASK_UNKNOWN.
+    not_run: the code for tasks that were never sent.
+    retry_after_s: how long the caller should wait before a retry, in seconds.
   """
 
   def answer(task: messages.Task) -> messages.TaskAnswer:
@@ -41,14 +41,17 @@
 
 
 def owner_lost(job: messages.Job, retry_after_s: int) -> messages.JobAnswer:
-  """Returns the answer of a job that a lost coordinator may have run."""
+  """Returns the answer of a job whose coordinator was lost.
+
+  The coordinator may have run any of its tasks.
+  """
   code = codes.Code.TASK_UNKNOWN_OWNER_LOST
   tasks = tuple(messages.TaskAnswer(t.task_id, code) for t in job.tasks)
   return _failed(job, tasks, retry_after_s)
 
 
 def cancelled(job: messages.Job) -> messages.JobAnswer:
-  """Returns the answer of a job cancelled before anything was sent."""
+  """Returns the answer of a job cancelled before any task was sent."""
   code = codes.Code.TASK_NOT_RUN_CANCELLED
   return messages.JobAnswer(
       key=job.key,
--- a/fescueturn/baseline.py
+++ b/fescueturn/baseline.py
@@ -1,8 +1,8 @@
-"""The naive dispatcher that the bench compares against; not for production.
+"""The naive dispatcher, a baseline for benchmarks; not for production.
 
-It admits a job by writing its key to the platform's store, one
-compare-and-swap per job, and sends each task to an endpoint drawn at
-random, whatever its load. `[entry] naive = true` selects it.
+It admits a job by writing its key to the platform's store (one
+compare-and-swap per job), and sends each task to a random endpoint, whatever
+its load. `[entry] naive = true` in the settings selects it.
 """
 
 import random
@@ -18,14 +18,14 @@
 
 
 class RandomEndpoints(placement.EndpointTable):
-  """Endpoints drawn at random, without regard to load or failures."""
+  """An endpoint table that picks at random, ignoring load and failures."""
 
   def __init__(self, me: str):
     super().__init__(me)
     self._rng = random.Random(me)
 
   def pick(self, service: str, now: float) -> events.EndpointInfo | None:
-    """Returns any listed endpoint of `service`."""
+    """Returns a random listed endpoint of `service` that is not leaving."""
     del now
     names = sorted(
         e.name for e in self.listed() if service in e.services and not e.leaving
@@ -53,7 +53,11 @@
 def store_claimed(
     state: state_lib.EntryState, event: events.StoreClaimed
 ) -> list:
-  """Runs the job if its key was free; refuses it if the store did not say."""
+  """Starts the job if its key was free.
+
+  Refuses it if the store did not answer. If the key existed, answers that the
+  outcome is unknown: the key's owner may have run the job.
+  """
   record = state.jobs.get(event.key)
   if record is None or record.phase is not state_lib.Phase.CLAIMING:
     return []
--- a/fescueturn/callerhttp.py
+++ b/fescueturn/callerhttp.py
@@ -1,4 +1,4 @@
-"""The entry host's HTTP side: callers' jobs and cancellations, dump, health.
+"""The entry host's HTTP interface for callers and operators.
 
 Paths: ``POST /v1/jobs`` (a job; header ``Idempotency-Key``),
 ``DELETE /v1/jobs/<key>?team=<team>`` (cancel a job), ``GET /dump`` (the
@@ -32,7 +32,7 @@
 }
 
 
-def _http_outcome(outcome: claims.Outcome) -> httpio.Response:
+def _to_response(outcome: claims.Outcome) -> httpio.Response:
   answer, error = outcome.answer, outcome.error
   retry_after_s = answer.retry_after_s if answer else outcome.retry_after_s
   headers = (("retry-after", str(retry_after_s)),) if retry_after_s else ()
@@ -43,7 +43,7 @@
 
 
 class CallerHttp:
-  """Turns HTTP requests into the entry host's events, and answers back."""
+  """Converts HTTP requests to the entry host's events, and outcomes back."""
 
   def __init__(self, host, clock, stats):
     self._host = host
@@ -51,7 +51,7 @@
     self._stats = stats
 
   async def handle(self, request: httpio.Request) -> httpio.Response:
-    """Answers one request; a stopping host ends each connection with it."""
+    """Handles one request; a draining host closes the connection after it."""
     response = await self._route(request)
     if self._host.state.draining:
       return httpio.with_connection_close(response)
@@ -60,9 +60,9 @@
   async def _route(self, request: httpio.Request) -> httpio.Response:
     route = (request.method, request.target)
     if route == ("POST", JOBS_PATH):
-      return await self._job(request)
+      return await self._submit_job(request)
     if request.method == "DELETE" and request.target.startswith(JOBS_PATH):
-      return await self._cancel(request)
+      return await self._cancel_job(request)
     if route == ("GET", "/dump"):
       return httpio.json_response(200, self._host.dump())
     if route == ("GET", "/health"):
@@ -71,7 +71,7 @@
         404, {"code": int(codes.Code.NOT_FOUND), "error": "NOT_FOUND"}
     )
 
-  async def _job(self, request: httpio.Request) -> httpio.Response:
+  async def _submit_job(self, request: httpio.Request) -> httpio.Response:
     started = self._timer.now()
     try:
       job = messages.parse_job(
@@ -79,7 +79,7 @@
       )
     except errors.BadRequestError as exc:
       self._stats.incr("refused.bad_input")
-      return _http_outcome(claims.Outcome(error=exc))
+      return _to_response(claims.Outcome(error=exc))
     outcome = await self._host.submit(lambda i: events.JobArrived(i, job))
     elapsed_ms = (self._timer.now() - started) * 1000
     self._stats.timing("job_ms", elapsed_ms)
@@ -91,13 +91,13 @@
         int(code),
         elapsed_ms,
     )
-    return _http_outcome(outcome)
+    return _to_response(outcome)
 
-  async def _cancel(self, request: httpio.Request) -> httpio.Response:
+  async def _cancel_job(self, request: httpio.Request) -> httpio.Response:
     try:
       cancel = _parse_cancel(request.target)
     except errors.BadRequestError as exc:
-      return _http_outcome(claims.Outcome(error=exc))
+      return _to_response(claims.Outcome(error=exc))
     outcome = await self._host.submit(lambda i: events.CancelArrived(i, cancel))
     code = outcome.answer.code if outcome.answer else outcome.error.code
     logger.info(
@@ -106,11 +106,15 @@
         cancel.team,
         int(code),
     )
-    return _http_outcome(outcome)
+    return _to_response(outcome)
 
 
 def _parse_cancel(target: str) -> messages.Cancel:
-  """Reads ``/v1/jobs/<key>?team=<team>``; raises `BadRequestError`."""
+  """Parses the target ``/v1/jobs/<key>?team=<team>``.
+
+  Raises:
+    BadRequestError: the key or the team is missing, or the key is too long.
+  """
   url = urllib.parse.urlsplit(target)
   key = urllib.parse.unquote(url.path[len(JOBS_PATH) :].lstrip("/"))
   team = dict(urllib.parse.parse_qsl(url.query)).get("team", "")
--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -1,10 +1,11 @@
-"""Claiming a key: the coordinator's side, before it sends any task.
-
-The coordinator asks every holder of the key at once. It may start only when
-all of them accepted in one view (a holder whose process surely no longer
-runs is passed over) and at least one of them surely knows every earlier
-claim. If a holder names another coordinator, the request goes there, or, if
-that coordinator is gone, gets its copied answer or a truthful "unknown".
+"""The coordinator's side of claiming a key, before it sends any task.
+
+The coordinator sends its claim to all holders of the key at once. It may start
+the job only if all of them accepted in the same view (a holder whose process
+has certainly ended is skipped) and at least one of them is certain to know
+every earlier claim. If a holder reports the claim of another coordinator, the
+request is forwarded there; if that coordinator is lost, the request gets the
+replicated answer, or an answer that says the outcome is unknown.
 """
 
 from fescueturn import answers
@@ -19,9 +20,10 @@
 
 CLAIM_TIMEOUT_S = 1.0
 CLAIM_RETRY_DELAY_S = 0.02
-# Rounds in which a later holder named another claimant before yielding to
-# it: two coordinators may each hold one holder, and the one that has the
-# first holder waits for the other to yield.
+# Number of rounds that a coordinator retries while another claimant has a later
+# holder, before it yields. Two coordinators can each have been accepted by one
+# of the two holders; the one that has the first holder then waits for the other
+# to yield.
 MAX_CONFLICTS = 4
 MAX_HOPS = 5
 
@@ -29,7 +31,7 @@
 def start_claim_round(
     state: state_lib.EntryState, record: state_lib.JobRecord
 ) -> list:
-  """Starts a round of claims for a record's key in the present view."""
+  """Sends claims of a record's key to its holders in the current view."""
   membership = state.membership
   if not membership.is_member:
     return _retry_later(state, record)
@@ -70,7 +72,7 @@
 def handle_claim_reply(
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
-  """Takes one holder's verdict, or its silence."""
+  """Handles one holder's reply to a claim, or the lack of one."""
   request = event.request.message
   record = state.jobs.get(request.claim.key)
   if record is None or record.phase is not state_lib.Phase.CLAIMING:
@@ -88,14 +90,14 @@
 
 
 def _decide(state, record) -> list:
-  """Every holder has answered: start, yield, or try again."""
+  """Starts the job, yields, or retries, once all requests have ended."""
   round_ = record.round
   if round_.view != state.membership.view:
     return start_claim_round(state, record)
   live = [n for n in round_.asked if n not in round_.dead]
   replies = [round_.replies[n] for n in live]
-  waiting = (claims.Verdict.STALE_VIEW, claims.Verdict.NOT_READY)
-  if any(r is None or r.verdict in waiting for r in replies):
+  retriable = (claims.Verdict.STALE_VIEW, claims.Verdict.NOT_READY)
+  if any(r is None or r.verdict in retriable for r in replies):
     return _retry_later(state, record)
   held = [claim for r in replies for claim in r.held]
   if held:
@@ -106,17 +108,21 @@
     return _yield_to(state, record, held)
   if not any(r.trusted for r in replies):
     return _retry_later(state, record)
-  _keep_own(state, record)
+  _store_own_claim(state, record)
   return jobs.start_tasks(state, record)
 
 
-def _keep_own(state, record):
-  """Lists the claim here too, for hosts that sync from this one."""
+def _store_own_claim(state, record):
+  """Stores the claim on this host too, for hosts that sync from it."""
   state.claims.put(jobs.make_claim(state, record), state.now)
 
 
 def _yield_to(state, record, held: list[claims.Claim]) -> list:
-  """Another process claimed the key first; what it decides holds."""
+  """Yields to another process that claimed the key first.
+
+  Uses that claim's replicated answer if there is one; otherwise forwards the
+  requests to its coordinator, or ends them if the coordinator is lost.
+  """
   state.counters["yielded"] += 1
   view = state.membership.view
   ours = record.job.fingerprint
@@ -124,10 +130,12 @@
   def same_job(claim: claims.Claim) -> bool:
     return not (ours and claim.fingerprint) or claim.fingerprint == ours
 
-  def lives(claim: claims.Claim) -> bool:
+  def is_alive(claim: claims.Claim) -> bool:
     return view.runs(claim.owner) and claim.owner not in state.dead
 
-  best = max(held, key=lambda c: (c.answer is not None, same_job(c), lives(c)))
+  best = max(
+      held, key=lambda c: (c.answer is not None, same_job(c), is_alive(c))
+  )
   if not same_job(best):
     error = errors.BadRequestError(
         "Idempotency-Key was used for another job", codes.Code.KEY_REUSED
@@ -135,7 +143,7 @@
     return jobs.refuse_all(state, record, error)
   if best.answer is not None:
     return jobs.finish_job(state, record, best.answer)
-  if lives(best):
+  if is_alive(best):
     member = view.member(best.owner.name)
     waiters = list(record.waiters)
     effects = jobs.discard_record(state, record)
@@ -143,18 +151,18 @@
       effects += forward_or_fail(state, waiter, member)
     return effects
   if record.cancelled:
-    return jobs.refuse_all(state, record, _owner_lost(record.job.key))
-  answer = _unknown(state, record.job)
+    return jobs.refuse_all(state, record, _owner_lost_error(record.job.key))
+  answer = _owner_lost_answer(state, record.job)
   return jobs.finish_job(state, record, answer)
 
 
-def _unknown(state, job: messages.Job) -> messages.JobAnswer:
+def _owner_lost_answer(state, job: messages.Job) -> messages.JobAnswer:
   return answers.owner_lost(job, state.limits.retry_after_s)
 
 
-def _owner_lost(key: str) -> errors.FescueError:
+def _owner_lost_error(key: str) -> errors.FescueError:
   return errors.FescueError(
-      f"the entry host that took key {key!r} is gone; its tasks may have run",
+      f"the coordinator of key {key!r} was lost; its tasks may have run",
       codes.Code.OWNER_LOST,
   )
 
@@ -162,43 +170,46 @@
 def forward_or_fail(
     state, waiter: state_lib.Waiter, member: events.Member
 ) -> list:
-  """Forwards a request, or ends it truthfully after too many hops."""
+  """Forwards a request, or ends it as owner lost after `MAX_HOPS` hops."""
   if waiter.hops < MAX_HOPS:
     return [jobs.forward(state, waiter, member)]
   if isinstance(waiter.request, messages.Cancel):
-    return [jobs.refuse(state, waiter, _owner_lost(waiter.key))]
-  answer = _unknown(state, waiter.request)
+    return [jobs.refuse(state, waiter, _owner_lost_error(waiter.key))]
+  answer = _owner_lost_answer(state, waiter.request)
   return [events.SendOutcome(waiter.request_id, claims.Outcome(answer=answer))]
 
 
 def handle_forward_reply(
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
-  """A forwarded request came back: its outcome, or a lost coordinator."""
-  parked = state.forwarded_requests.get(event.request.request_id)
-  if parked is None or parked.member != event.request.member:
+  """Handles the outcome of a forwarded request.
+
+  Without a reply, the request is handled here like a new one.
+  """
+  forwarded = state.forwarded_requests.get(event.request.request_id)
+  if forwarded is None or forwarded.member != event.request.member:
     return []
   del state.forwarded_requests[event.request.request_id]
-  waiter = parked.waiter
+  waiter = forwarded.waiter
   if event.reply is not None:
     return [events.SendOutcome(waiter.request_id, event.reply)]
   if event.dead:
     state.dead.add(event.request.member.token)
   state.counters["forward_lost"] += 1
-  again = state_lib.Waiter(waiter.request_id, waiter.request, waiter.hops + 1)
-  return jobs.handle_request(state, again)
+  retried = state_lib.Waiter(waiter.request_id, waiter.request, waiter.hops + 1)
+  return jobs.handle_request(state, retried)
 
 
 def handle_view_change(state: state_lib.EntryState) -> list:
-  """In a new view, claims start over and lost coordinators are noticed."""
+  """Restarts open claims, and requests forwarded to hosts that are lost."""
   effects = []
   for record in list(state.jobs.values()):
     if record.phase is state_lib.Phase.CLAIMING:
       effects += start_claim_round(state, record)
   view = state.membership.view
   state.dead = {t for t in state.dead if view.runs(t)}
-  for request_id, parked in list(state.forwarded_requests.items()):
-    if not view.runs(parked.member.token):
+  for request_id, forwarded in list(state.forwarded_requests.items()):
+    if not view.runs(forwarded.member.token):
       del state.forwarded_requests[request_id]
-      effects += jobs.handle_request(state, parked.waiter)
+      effects += jobs.handle_request(state, forwarded.waiter)
   return effects
--- a/fescueturn/claims.py
+++ b/fescueturn/claims.py
@@ -1,11 +1,11 @@
-"""Claims: which entry host may start a job's tasks, and what its peers keep.
+"""Claims on idempotency keys, and the messages between entry hosts.
 
-Before an entry host (the job's coordinator) sends any task it claims the
+Before an entry host (the job's coordinator) sends any task, it claims the
 job's idempotency key at the key's holders, two entry hosts chosen by
-rendezvous hashing (`fescueturn.routing`). A holder accepts the first claim
-of a key and tells every later claimant who holds it. The messages here go
-between entry hosts over `fescueturn.peer`; `ClaimTable` is one entry host's
-memory of claims, its own and those it holds for others.
+rendezvous hashing (`fescueturn.routing`). A holder accepts the first claim of
+a key and answers every later claimant with the earlier claim. The messages are
+sent over `fescueturn.peer`. `ClaimTable` stores the claims an entry host knows:
+its own and those it holds for others.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Token:
-  """One process of an entry host; `boot` differs at every start."""
+  """Identifies one process of an entry host; `boot` differs at every start."""
 
   name: str
   boot: str
@@ -33,10 +33,10 @@
     key: the job's idempotency key.
     fingerprint: the job's fingerprint, "" for a cancellation.
     owner: the coordinator's process.
-    number: the coordinator's own count of claims; orders a claim and its
-      release.
-    keep_s: seconds from now for which holders must remember the claim.
-    answer: the job's final answer, once its coordinator has copied it.
+    number: the coordinator's sequence number; orders its claims and releases
+      of a key.
+    keep_s: how long from now the holders must keep the claim, in seconds.
+    answer: the job's final answer, once its coordinator has replicated it.
   """
 
   key: str
@@ -48,17 +48,17 @@
 
 
 class Verdict(enum.IntEnum):
-  """A holder's answer to a claim."""
+  """A holder's decision on a claim."""
 
   ACCEPTED = 1
   HELD = 2  # Another coordinator claimed the key first.
-  STALE_VIEW = 3  # Holder and claimant see different members.
-  NOT_READY = 4  # The holder may not act now: its lease lapsed.
+  STALE_VIEW = 3  # Holder and claimant have different membership views.
+  NOT_READY = 4  # The holder may not accept claims: its lease expired.
 
 
 @dataclasses.dataclass(frozen=True)
 class ClaimRequest:
-  """Asks a holder to accept `claim`, made in the membership view `view`."""
+  """Asks a holder to accept `claim`; `view` is the claimant's view digest."""
 
   view: int
   claim: Claim
@@ -66,13 +66,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClaimReply:
-  """A holder's verdict.
+  """A holder's reply to a `ClaimRequest`.
 
   Attributes:
-    verdict: what the holder decided.
-    trusted: whether the holder surely knows every claim of the key's
+    verdict: the holder's decision.
+    trusted: True if the holder is certain to know every claim of the key's
       partition (False on a new holder that has not synced yet).
-    held: every claim of the key by others, with verdict `HELD`.
+    held: with verdict `HELD`, every claim of the key by other processes.
   """
 
   verdict: Verdict
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Release:
-  """Gives a claim up: its coordinator sent nothing. No reply."""
+  """Releases a claim whose coordinator started no task. One-way."""
 
   key: str
   owner: Token
@@ -91,22 +91,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnswerCopy:
-  """A finished job's claim with its answer, for a holder. No reply."""
+  """Replicates a finished job's claim and answer to a holder. One-way."""
 
   claim: Claim
 
 
 @dataclasses.dataclass(frozen=True)
 class SyncRequest:
-  """A new holder asks for every claim of the partitions it has gained.
+  """Requests every claim of the partitions that the asker newly holds.
 
   Attributes:
-    view: the asker's membership view; members answer only in the same one.
-    asker: the asking process.
-    departed_lease: 0, or, when the asked host has gone from the asker's view,
-      the lease it had there: the asked host then answers in any view, and
-      stops acting in its own if it has that lease still.
-    partitions: the partition numbers asked for.
+    view: digest of the asker's membership view; a member replies only if its
+      own view is the same.
+    asker: the requesting process.
+    departed_lease: 0 for a member. For a host that is no longer in the asker's
+      view: the lease it had there. That host replies in any view, and if it
+      still has that lease, it accepts no more claims in its own view.
+    partitions: the requested partition numbers.
   """
 
   view: int
@@ -117,7 +118,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SyncReply:
-  """The claims asked for, or `ready` False to be asked again later."""
+  """The requested claims; `ready` is False if the asker must retry later."""
 
   ready: bool
   claims: tuple[Claim, ...] = ()
@@ -125,7 +126,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProbeRequest:
-  """A host whose lease lapsed asks whether its peers still see its view."""
+  """Asks a peer for a promise, from a host whose lease expired.
+
+  `view` is the digest of the asker's membership view.
+  """
 
   view: int
   asker: Token
@@ -133,14 +137,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProbeReply:
-  """True promises not to act in a view without the asker for PROMISE_S."""
+  """Reply to a probe.
+
+  If `agrees` is True, the peer promises for `views.PROMISE_S` seconds not to
+  accept claims in a view without the asker.
+  """
 
   agrees: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class ForwardJob:
-  """Passes a job to the entry host that coordinates its key already."""
+  """Forwards a job to another entry host, usually its key's coordinator."""
 
   job: messages.Job
   hops: int
@@ -148,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ForwardCancel:
-  """Passes a cancellation to the entry host that coordinates the key."""
+  """Forwards a cancellation to another entry host, as `ForwardJob`."""
 
   cancel: messages.Cancel
   hops: int
@@ -156,7 +164,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-  """What becomes of a caller's request: a whole answer, or a refusal."""
+  """The outcome of a caller's request: an answer, or a refusal."""
 
   answer: messages.JobAnswer | None = None
   error: errors.FescueError | None = None
@@ -177,59 +185,63 @@
 
 
 class ClaimTable:
-  """Claims by key and coordinator, forgotten after their time.
+  """Claims by key and coordinator, with expiry.
 
-  A key may have several: a holder that has not synced yet accepts a claim
-  without knowing of an earlier one, and learns of it later. Each stays until
-  its own coordinator releases it.
+  A key can have several claims: a holder that has not synced yet accepts a
+  claim without knowing an earlier one, which a sync adds later. Each claim
+  stays until it expires or its own coordinator releases it.
   """
 
   def __init__(self):
     self._claims: dict[str, dict[Token, Claim]] = {}
-    self._until: dict[tuple[str, Token], float] = {}
+    self._expiry: dict[tuple[str, Token], float] = {}
     self._by_partition: dict[int, set[str]] = collections.defaultdict(set)
-    self._queue: collections.deque = collections.deque()
+    self._expiry_queue: collections.deque = collections.deque()
 
   def __len__(self) -> int:
-    return len(self._until)
+    return len(self._expiry)
 
   def by_others(self, key: str, owner: Token) -> tuple[Claim, ...]:
-    """Returns the claims of `key` by every process but `owner`."""
+    """Returns the claims of `key` by processes other than `owner`."""
     claims = self._claims.get(key, {})
     return tuple(c for token, c in claims.items() if token != owner)
 
   def put(self, claim: Claim, now: float):
-    """Stores `claim`, to be forgotten `claim.keep_s` from `now`."""
+    """Stores `claim`; it expires `claim.keep_s` seconds after `now`."""
     until = now + claim.keep_s
     self._claims.setdefault(claim.key, {})[claim.owner] = claim
-    self._until[claim.key, claim.owner] = until
+    self._expiry[claim.key, claim.owner] = until
     self._by_partition[routing.partition(claim.key)].add(claim.key)
-    self._queue.append((until, claim.key, claim.owner))
+    self._expiry_queue.append((until, claim.key, claim.owner))
 
   def _remove(self, key: str, owner: Token):
     del self._claims[key][owner]
-    del self._until[key, owner]
+    del self._expiry[key, owner]
     if not self._claims[key]:
       del self._claims[key]
       self._by_partition[routing.partition(key)].discard(key)
 
   def release(self, release: Release):
-    """Forgets the claim that `release` names, unless a later one came."""
+    """Removes the released claim, unless its coordinator made a later one."""
     held = self._claims.get(release.key, {}).get(release.owner)
     if held is not None and held.number <= release.number:
       self._remove(release.key, release.owner)
 
   def merge(self, claim: Claim, now: float):
-    """Adds a peer's claim unless the same coordinator's here says as much."""
+    """Stores a claim received from a peer, unless it adds nothing.
+
+    It adds something if this table has no claim of the same coordinator, or
+    one without the answer that `claim` has.
+    """
     held = self._claims.get(claim.key, {}).get(claim.owner)
     if held is None or (held.answer is None and claim.answer is not None):
       self.put(claim, now)
 
   def in_partitions(self, partitions, now: float) -> tuple[Claim, ...]:
-    """Returns the claims of `partitions`, each with the time left to keep."""
+    """Returns the claims of `partitions`, with `keep_s` as the time left."""
     return tuple(
         dataclasses.replace(
-            claim, keep_s=max(0.0, self._until[key, owner] - now)
+            claim, keep_s=max(0.0, self._expiry[key, owner] - now)
         )
         for number in partitions
         for key in sorted(self._by_partition.get(number, ()))
@@ -237,8 +249,8 @@
     )
 
   def expire(self, now: float):
-    """Forgets every claim whose time is over."""
-    while self._queue and self._queue[0][0] <= now:
-      _, key, owner = self._queue.popleft()
-      if self._until.get((key, owner), now + 1) <= now:
+    """Removes every expired claim."""
+    while self._expiry_queue and self._expiry_queue[0][0] <= now:
+      _, key, owner = self._expiry_queue.popleft()
+      if self._expiry.get((key, owner), now + 1) <= now:
         self._remove(key, owner)
--- a/fescueturn/dispatch.py
+++ b/fescueturn/dispatch.py
@@ -1,33 +1,37 @@
-"""Dispatch: waiting tasks go to endpoints with free slots, within quotas."""
+"""Sends waiting tasks to endpoints with free slots, within team quotas."""
 
 from fescueturn import codes
 from fescueturn import events
 from fescueturn import messages
 from fescueturn import state as state_lib
 
-# A task is overdue after this many times its job's longest declared run time
-# and this much more.
+# A task is overdue after OVERDUE_FACTOR times the longest declared run time in
+# its job, plus OVERDUE_EXTRA_S.
 OVERDUE_FACTOR = 2
 OVERDUE_EXTRA_S = 0.5
 
 
 def dispatch(state: state_lib.EntryState) -> list:
-  """Sends waiting tasks to free slots, team by team, within quotas."""
+  """Sends waiting tasks to free slots, taking the teams in turn."""
   effects = []
-  stuck = set()
+  blocked = set()
   while True:
-    teams = [t for t in state.queue.teams if t not in stuck]
+    teams = [t for t in state.queue.teams if t not in blocked]
     if not teams:
       return effects
     for team in teams:
       sent = _send_next(state, team)
       if sent is None:
-        stuck.add(team)
+        blocked.add(team)
       effects += sent or []
 
 
 def _send_next(state, team: str) -> list | None:
-  """Sends the team's next task; None when it has to wait."""
+  """Sends the team's next task.
+
+  Returns:
+    The effects (none if the task's job has ended); None if the task must wait.
+  """
   key, task_id = state.queue.peek(team)
   record = state.jobs.get(key)
   if record is None or record.phase is not state_lib.Phase.RUNNING:
@@ -46,7 +50,7 @@
 
 
 def _quota_share(state, team_settings) -> int:
-  """This entry host's even part of the team's quota in the data centre."""
+  """Returns this entry host's equal share of the team's quota."""
   view = state.membership.view
   hosts = len(view.holder_names) if view else 1
   return max(1, team_settings.max_tasks_in_flight // max(1, hosts))
@@ -66,24 +70,25 @@
   )
 
 
-def _patience_s(job: messages.Job) -> float:
-  """How long after its sending a task of this job is overdue, in seconds."""
+def _overdue_after_s(job: messages.Job) -> float:
+  """Returns how long after sending a task of `job` is overdue, in seconds."""
   longest_ms = max(t.run_ms for t in job.tasks)
   return OVERDUE_FACTOR * longest_ms / 1000 + OVERDUE_EXTRA_S
 
 
 def schedule_overdue_check(state, record):
-  """Looks, in a while, for tasks of the job that take much too long."""
+  """Schedules a check for overdue tasks of the job."""
   state.schedule(
-      state.now + _patience_s(record.job), lambda s: _check_overdue(s, record)
+      state.now + _overdue_after_s(record.job),
+      lambda s: _check_overdue(s, record),
   )
 
 
 def _check_overdue(state, record) -> list:
-  """Leaves out endpoints that sit on a task much longer than declared."""
-  late = state.now - _patience_s(record.job)
+  """Excludes endpoints that have an overdue task of the job for a time."""
+  sent_before = state.now - _overdue_after_s(record.job)
   for sent in record.in_flight.values():
-    if sent.sent_at <= late:
+    if sent.sent_at <= sent_before:
       state.endpoints.mark_unreachable(sent.endpoint, state.now)
   if not record.done or record.in_flight:
     schedule_overdue_check(state, record)
@@ -91,7 +96,7 @@
 
 
 def record_task_outcome(state, record, event: events.TaskFinished):
-  """Tells the endpoint table how one of the job's tasks went."""
+  """Records the result of one of the job's tasks in the endpoint table."""
   table = state.endpoints
   if event.code == codes.Code.TASK_DONE:
     declared_ms = record.tasks[event.task_id].run_ms
--- a/fescueturn/entry.py
+++ b/fescueturn/entry.py
@@ -1,8 +1,9 @@
-"""The entry host daemon: HTTP for callers, pycapnp for peers, effects out.
+"""The entry host daemon: serves callers over HTTP and peers over Cap'n Proto.
 
-This is the I/O shell around `fescueturn.reducer`: it turns requests, peer
-messages, endpoint replies, platform watches and timer ticks into events,
-feeds them to the reducer one at a time, and carries out the effects.
+This is the I/O shell around `fescueturn.reducer`: it turns callers' requests,
+peer messages, endpoint replies, platform watches and timer ticks into events,
+feeds them to the reducer one at a time, and executes the effects that the
+reducer returns.
 """
 
 import json
@@ -32,7 +33,7 @@
 
 
 class _Waiter:
-  """A request waiting for the reducer's answer."""
+  """A pending request: its completion event and its result."""
 
   def __init__(self):
     self.done = curio.Event()
@@ -40,7 +41,10 @@
 
 
 class EntryHost:
-  """One entry host: `start` joins and serves, `drain` stops gracefully."""
+  """One entry host process.
+
+  `start` joins the data centre and serves; `drain` stops gracefully.
+  """
 
   def __init__(
       self,
@@ -60,12 +64,12 @@
     self._stats = metrics.client(process.statsd, "entry", process.name)
     self._kv = store
     self._rng = random.Random(boot)
-    self._front = callerhttp.CallerHttp(self, clock, self._stats)
+    self._caller_http = callerhttp.CallerHttp(self, clock, self._stats)
     self._server = httpio.Server(
-        config.listen, self._front.handle, config.max_body_bytes
+        config.listen, self._caller_http.handle, config.max_body_bytes
     )
     self._peers_server = peer.PeerServer(
-        config.peer_listen, boot, self._from_peer
+        config.peer_listen, boot, self._handle_peer_message
     )
     self._lease = membership.LeaseKeeper(
         self._kv,
@@ -82,19 +86,19 @@
     self._loops = []
     self._next_request = 1
     self._drained = curio.Event()
-    self._carry = {
-        events.SendTask: self._spawn_with(self._send_task),
-        events.SendOutcome: self._settle,
-        events.SendPeerRequest: self._spawn_with(self._ask),
-        events.SendPeerNotice: self._spawn_with(self._tell),
-        events.SendPeerReply: self._peer_answer,
-        events.StoreClaim: self._spawn_with(self._store_claim),
-        events.Drained: self._on_drained,
+    self._effect_handlers = {
+        events.SendTask: self._in_background(self._send_task),
+        events.SendOutcome: self._send_outcome,
+        events.SendPeerRequest: self._in_background(self._send_peer_request),
+        events.SendPeerNotice: self._in_background(self._send_peer_notice),
+        events.SendPeerReply: self._send_peer_reply,
+        events.StoreClaim: self._in_background(self._store_claim),
+        events.Drained: self._handle_drained,
     }
 
   @property
   def state(self) -> state_lib.EntryState:
-    """The reducer's state (read it; never change it from outside)."""
+    """The reducer's state; read-only for all code but the reducer."""
     return self._state
 
   def _backoff(self) -> membership.Backoff:
@@ -102,7 +106,7 @@
     return membership.Backoff(self._rng, longest_s)
 
   async def start(self):
-    """Joins the platform, starts the loops and serves callers and peers."""
+    """Registers with the platform, starts its watches, and begins to serve."""
     self._state.now = self._timer.now()
     self._timer.subscribe(self._tick)
     dc = self._process.data_centre
@@ -138,7 +142,11 @@
     )
 
   async def drain(self, limit_s: float = DRAIN_TIMEOUT_S):
-    """A planned stop: pass new keys on, finish what is in flight, leave."""
+    """Stops gracefully: forwards new keys, finishes work in flight, leaves.
+
+    Args:
+      limit_s: how long to wait for the work in flight, in seconds.
+    """
     logger.info("event=drain_started name={}", self._process.name)
     await self._apply(events.DrainStarted())
     await self._lease.leave()
@@ -153,7 +161,7 @@
     )
 
   async def close(self):
-    """Stops every loop and closes every connection."""
+    """Stops all background loops and closes all connections."""
     await self._server.close()
     await self._peers_server.close()
     for task in self._loops:
@@ -164,7 +172,7 @@
     await self._kv.close()
 
   def dump(self) -> dict:
-    """Returns the whole state as JSON-ready data."""
+    """Returns the complete state as JSON-serialisable data."""
     peer_in, peer_out = self._peers_server.bytes_in_out
     shell = {
         "waiting_requests": len(self._waiters),
@@ -176,7 +184,7 @@
     return {"role": "entry", "state": self._state.snapshot(), "shell": shell}
 
   def health(self) -> dict:
-    """Returns whether this host serves, and what it sees, as JSON data."""
+    """Returns this host's health and its view of the data centre, for JSON."""
     state = self._state
     view = state.membership.view
     return {
@@ -194,39 +202,42 @@
     await self._apply(events.Tick(now))
 
   async def _apply(self, event: events.Event):
-    """Runs one event through the reducer and carries out its effects."""
+    """Passes one event to the reducer and executes the effects it returns."""
     for effect in reducer.reduce(self._state, event, self._timer.now()):
-      await self._carry[type(effect)](effect)
+      await self._effect_handlers[type(effect)](effect)
 
-  def _spawn_with(self, method):
-    async def carry(effect: events.Effect):
+  def _in_background(self, method):
+    async def spawn_handler(effect: events.Effect):
       await curio.spawn(method, effect, daemon=True)
 
-    return carry
+    return spawn_handler
 
-  async def _settle(self, effect: events.SendOutcome):
-    await self._wake(effect.request_id, effect.outcome)
+  async def _send_outcome(self, effect: events.SendOutcome):
+    await self._complete_request(effect.request_id, effect.outcome)
 
-  async def _peer_answer(self, effect: events.SendPeerReply):
-    await self._wake(effect.request_id, effect.reply)
+  async def _send_peer_reply(self, effect: events.SendPeerReply):
+    await self._complete_request(effect.request_id, effect.reply)
 
-  async def _wake(self, request_id: int, result: claims.Reply):
+  async def _complete_request(self, request_id: int, result: claims.Reply):
     waiter = self._waiters.get(request_id)
     if waiter is not None:
       waiter.result = result
       await waiter.done.set()
 
-  async def _on_drained(self, effect: events.Drained):
+  async def _handle_drained(self, effect: events.Drained):
     del effect
     await self._drained.set()
 
   async def submit(
       self, make_event: Callable[[int], events.Event]
   ) -> claims.Reply:
-    """Runs one request through the reducer and waits for its result.
+    """Passes one request to the reducer and waits for its result.
 
     Args:
-      make_event: given the request's number, returns its event.
+      make_event: returns the request's event, given the request id.
+
+    Returns:
+      The outcome for a caller, or the reply to a peer's message.
     """
     request_id = self._next_request
     self._next_request += 1
@@ -239,20 +250,20 @@
       del self._waiters[request_id]
     return waiter.result
 
-  def _peer(self, member: events.Member) -> peer.PeerClient:
+  def _peer_client(self, member: events.Member) -> peer.PeerClient:
     client = self._peers.get(member.peer)
     if client is None:
       client = self._peers[member.peer] = peer.PeerClient(member.peer)
     return client
 
-  async def _ask(self, effect: events.SendPeerRequest):
+  async def _send_peer_request(self, effect: events.SendPeerRequest):
     member = effect.member
     reply, dead = None, False
     try:
-      boot, reply = await self._peer(member).send_request(
+      boot, reply = await self._peer_client(member).send_request(
           effect.message, effect.timeout_s
       )
-      if boot != member.boot:  # Another process took the address over.
+      if boot != member.boot:  # Another process now has the address.
         reply, dead = None, True
     except peer.PeerRefusedError:
       dead = True
@@ -261,8 +272,8 @@
       self._stats.incr("peer_lost")
     await self._apply(events.PeerReplyReceived(effect, reply, dead))
 
-  async def _tell(self, effect: events.SendPeerNotice):
-    await self._peer(effect.member).send_notice(effect.message)
+  async def _send_peer_notice(self, effect: events.SendPeerNotice):
+    await self._peer_client(effect.member).send_notice(effect.message)
 
   async def _store_claim(self, effect: events.StoreClaim):
     key = effect.claim.key
@@ -282,7 +293,9 @@
   async def _send_task(self, effect: events.SendTask):
     await self._apply(await self._endpoints.send(effect))
 
-  async def _from_peer(self, message: claims.Request) -> claims.Reply | None:
+  async def _handle_peer_message(
+      self, message: claims.Request
+  ) -> claims.Reply | None:
     if isinstance(message, claims.ONE_WAY):
       await self._apply(events.PeerRequestReceived(0, message))
       return None
--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -1,9 +1,9 @@
-"""Events that the entry host's reducer takes, and effects it returns.
+"""Events that the entry host's reducer handles, and effects it returns.
 
-Every input to an entry host's decisions (a caller's job, an endpoint's
-answer, a peer's message, a change of membership, endpoints or a team's
-settings, the passing of time) is an event. The reducer answers each with effects: data that the
-I/O shell in `fescueturn.entry` carries out.
+Every input of the reducer is an event: a caller's job, an endpoint's answer, a
+peer's message, a change of membership, endpoints or a team's settings, a timer
+tick. The reducer returns effects, which are data; the I/O shell in
+`fescueturn.entry` executes them.
 """
 
 import dataclasses
@@ -16,14 +16,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndpointInfo:
-  """An endpoint as the host list shows it.
+  """An endpoint as the host list describes it.
 
   Attributes:
     name: the endpoint's host name.
-    address: where it takes tasks over HTTP.
+    address: the address at which it accepts tasks over HTTP.
     services: the back end services it runs (``speller``, ...).
-    slots: how many tasks it runs at once.
-    leaving: True once the host list marks it as leaving.
+    slots: the number of tasks it runs concurrently.
+    leaving: True once the host list marks it as leaving; it then gets no new
+      tasks.
   """
 
   name: str
@@ -35,15 +36,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-  """An entry host of this data centre, from its lease-held key in the KV.
+  """An entry host of this data centre, from its key in the KV store.
+
+  The key is bound to the host's lease and disappears when the lease ends.
 
   Attributes:
     name: the entry host's name.
-    peer: where it takes messages from other entry hosts.
-    boot: its process (see `claims.Token`).
-    lease: the lease that holds its key; a new one each time it joins.
-    leaving: True once it stops: it finishes its jobs and holds no claims.
-    rack: the rack it is in; "" when its settings name none.
+    peer: the address at which it accepts messages from other entry hosts.
+    boot: id of its process (see `claims.Token`).
+    lease: id of the lease its key is bound to; a new one at each join.
+    leaving: True once it is draining: it finishes its jobs, and no longer
+      holds claims.
+    rack: the rack it is in; "" if its settings name none.
   """
 
   name: str
@@ -55,7 +59,7 @@
 
   @property
   def token(self) -> claims.Token:
-    """The member's process."""
+    """The token of the member's process."""
     return claims.Token(self.name, self.boot)
 
 
@@ -64,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobArrived:
-  """A caller's job, arriving direct (hops=0) or forwarded by a peer."""
+  """A job arrived from a caller (hops=0) or forwarded by a peer."""
 
   request_id: int
   job: messages.Job
@@ -73,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CancelArrived:
-  """A caller's cancellation of a job, direct (hops=0) or forwarded."""
+  """A cancellation arrived from a caller (hops=0) or forwarded by a peer."""
 
   request_id: int
   cancel: messages.Cancel
@@ -82,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerRequestReceived:
-  """A peer's message came in; answered with `SendPeerReply` unless one-way."""
+  """A message arrived from a peer; needs a `SendPeerReply` unless one-way."""
 
   request_id: int
   message: claims.Request
@@ -90,13 +94,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerReplyReceived:
-  """What came of an `SendPeerRequest`.
+  """A `SendPeerRequest` ended, with or without a reply.
 
   Attributes:
-    ask: the effect that asked.
-    reply: the peer's reply; None when none came.
-    dead: True when the asked process surely no longer runs (its port
-      refuses connections, or another process answers there).
+    request: the effect that sent the request.
+    reply: the peer's reply; None if there was none.
+    dead: True when the peer's process has certainly ended (its port refuses
+      connections, or another process answers there).
   """
 
   request: "SendPeerRequest"
@@ -106,7 +110,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreClaimed:
-  """The platform answered a `StoreClaim`; None when no answer came."""
+  """A `StoreClaim` ended.
+
+  Attributes:
+    key: the job's idempotency key.
+    claimed: True if the key was free, False if it existed already, None if
+      the store did not answer.
+  """
 
   key: str
   claimed: bool | None
@@ -114,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TaskFinished:
-  """An endpoint exchange ended with a task code (see `codes.task_ran`)."""
+  """A request to an endpoint ended with a task code (see `codes.task_ran`)."""
 
   key: str
   task_id: str
@@ -126,18 +136,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndpointsChanged:
-  """The host list's view of the endpoints changed."""
+  """The endpoints in the host list changed; carries all of them."""
 
   endpoints: tuple[EndpointInfo, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class MembersChanged:
-  """The next view of this data centre's entry hosts, in the KV's order.
+  """The next view of this data centre's entry hosts, in KV revision order.
 
   Attributes:
     members: every entry host of the view.
-    gap: True when changes before this view were missed (a fresh read).
+    gap: True when this view was read afresh, so that changes before it may
+      have been missed.
   """
 
   members: tuple[Member, ...]
@@ -146,7 +157,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseRenewed:
-  """This entry host's lease is good until `until` by its own clock."""
+  """This entry host's lease is valid until `until`, by its own clock."""
 
   lease: int
   until: float
@@ -154,7 +165,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TeamChanged:
-  """A team's settings at a KV revision; None once the team is removed."""
+  """A team's settings changed; `team_settings` is None for a removed team."""
 
   team: str
   revision: int
@@ -163,14 +174,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Tick:
-  """The timer service's tick; the reducer's only source of time."""
+  """A tick of the timer service."""
 
   now: float
 
 
 @dataclasses.dataclass(frozen=True)
 class DrainStarted:
-  """A planned stop began: refuse new keys, finish what is in flight."""
+  """A graceful stop began: new keys are no longer accepted here."""
 
 
 Event = (
@@ -204,7 +215,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SendOutcome:
-  """Give a waiting request its outcome: a whole answer or a refusal."""
+  """Complete a pending request with its outcome: an answer or a refusal."""
 
   request_id: int
   outcome: claims.Outcome
@@ -216,9 +227,9 @@
 
   Attributes:
     member: the peer.
-    message: what to send.
-    timeout_s: how long to wait for the reply.
-    request_id: the caller's request, for a forwarded job or cancellation.
+    message: the message to send.
+    timeout_s: how long to wait for the reply, in seconds.
+    request_id: id of the caller's request that is forwarded; 0 otherwise.
   """
 
   member: Member
@@ -245,14 +256,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreClaim:
-  """Claim a key in the platform's service (the baseline's write per job)."""
+  """Claim a key in the platform's store (one write per job; baseline only)."""
 
   claim: claims.Claim
 
 
 @dataclasses.dataclass(frozen=True)
 class Drained:
-  """Nothing is in flight any more; the shell may stop."""
+  """No work is in flight any more; the shell may stop."""
 
 
 Effect = (
--- a/fescueturn/jobs.py
+++ b/fescueturn/jobs.py
@@ -1,9 +1,11 @@
-"""Jobs at their coordinator: arrival, joining, cancelling, final answer.
+"""The life cycle of a job at its coordinator, from request to final answer.
 
-Rules kept here: a known key joins the running job or gets its kept answer;
-a task is sent again only when its endpoint surely did not start it; a job's
-answer is complete, or failed with a truthful code per task, and goes at
-once to every caller waiting for the key.
+Invariants:
+
+* A request for a known key joins the running job or gets its stored answer.
+* A task is retried only if its endpoint certainly did not start it.
+* A job's answer is either complete, or failed with an accurate code for each
+  task. It is sent at once to every caller that waits for the key.
 """
 
 from fescueturn import answers
@@ -17,33 +19,35 @@
 
 MAX_NOT_STARTED_RETRIES = 3
 CANCEL_DEADLINE_S = 5.0
-# Holders given a finished job's answer; a cancellation goes to all of them.
+# Number of holders that get a copy of a finished job's answer. A cancellation
+# is copied to all holders.
 ANSWER_COPIES = 1
-# Holders remember a claim this much longer than its answer is kept.
+# Holders keep a claim this much longer than the coordinator keeps its answer.
 CLAIM_KEEP_EXTRA_S = 60.0
-# A key that could not be claimed in the lease's time and this is refused.
+# A request is refused if its key could not be claimed within the lease TTL
+# plus this time.
 CLAIM_TIMEOUT_EXTRA_S = 1.0
 
 
 def handle_request(
     state: state_lib.EntryState, waiter: state_lib.Waiter
 ) -> list:
-  """Takes a caller's job or cancellation, direct or from a peer."""
+  """Handles a job or cancellation, from a caller or forwarded by a peer."""
   record = state.jobs.get(waiter.key)
   if record is not None:
-    return _join(state, record, waiter)
+    return _join_job(state, record, waiter)
   if isinstance(waiter.request, messages.Cancel):
     job = messages.Job(waiter.request.team, "", waiter.key, (), "")
     deadline_s = CANCEL_DEADLINE_S
   else:
     job = waiter.request
-    refusal = _check(state, job)
+    refusal = _validate(state, job)
     if refusal is not None:
       return [refuse(state, waiter, refusal)]
     team = state.team_settings(job.team)
     deadline_s = (job.deadline_ms or team.deadline_ms) / 1000
   if state.draining:
-    return _pass_on(state, waiter)
+    return _forward_while_draining(state, waiter)
   record = _new_record(state, job, state.now + deadline_s)
   record.cancelled = isinstance(waiter.request, messages.Cancel)
   record.waiters.append(waiter)
@@ -56,12 +60,12 @@
   record.claim_deadline = min(deadline, state.now + limit)
   state.jobs[job.key] = record
   state.counters["jobs"] += 1
-  state.schedule(deadline, lambda s: _deadline(s, record))
+  state.schedule(deadline, lambda s: _handle_deadline(s, record))
   return record
 
 
-def _check(state, job: messages.Job) -> errors.FescueError | None:
-  """Returns why a new job is refused, or None to take it."""
+def _validate(state, job: messages.Job) -> errors.FescueError | None:
+  """Returns the error for which a new job is refused, or None to accept it."""
   team = state.team_settings(job.team)
   if team is None:
     return errors.BadRequestError(
@@ -78,15 +82,18 @@
 def refuse(
     state, waiter: state_lib.Waiter, error: errors.FescueError
 ) -> events.SendOutcome:
-  """Returns the refusal of one request, with when to come back."""
+  """Returns the effect that refuses one request, with a retry-after time."""
   outcome = claims.Outcome(
       error=error, retry_after_s=state.limits.retry_after_s
   )
   return events.SendOutcome(waiter.request_id, outcome)
 
 
-def _pass_on(state, waiter: state_lib.Waiter) -> list:
-  """A stopping host gives a new key to another, or refuses it."""
+def _forward_while_draining(state, waiter: state_lib.Waiter) -> list:
+  """Forwards a new key to another entry host while draining, or refuses it.
+
+  A request that was forwarded already is refused.
+  """
   view = state.membership.view
   others = [n for n in (view.holder_names if view else ()) if n != state.name]
   if not others or waiter.hops:
@@ -99,7 +106,7 @@
 def forward(
     state, waiter: state_lib.Waiter, member: events.Member
 ) -> events.SendPeerRequest:
-  """Returns the effect that passes a request on to `member`."""
+  """Returns the effect that forwards a request to `member`."""
   state.counters["forwarded"] += 1
   request, hops = waiter.request, waiter.hops + 1
   if isinstance(request, messages.Cancel):
@@ -116,8 +123,13 @@
   return events.SendPeerRequest(member, message, timeout_s, waiter.request_id)
 
 
-def _join(state, record: state_lib.JobRecord, waiter: state_lib.Waiter) -> list:
-  """A request for a key this host coordinates: nothing new starts."""
+def _join_job(
+    state, record: state_lib.JobRecord, waiter: state_lib.Waiter
+) -> list:
+  """Handles a request for a key that this host coordinates already.
+
+  It never starts another task.
+  """
   request = waiter.request
   state.counters["joined"] += 1
   if isinstance(request, messages.Cancel):
@@ -135,14 +147,17 @@
 
 
 def _cancel(state, record, waiter: state_lib.Waiter) -> list:
-  """Cancels a job: what was sent is unknown, the rest never runs."""
+  """Cancels a job; its unsent tasks never run.
+
+  Tasks in flight are answered with TASK_UNKNOWN.
+  """
   if record.done:
     return [_reply(record, waiter)]
   record.waiters.append(waiter)
   state.counters["cancelled"] += 1
   if record.phase is state_lib.Phase.RUNNING:
     return fail_job(state, record, codes.Code.TASK_NOT_RUN_CANCELLED)
-  # The holders must keep the cancellation before it is acknowledged.
+  # The holders must store the cancellation before it is acknowledged.
   record.cancelled = True
   record.number = state.next_number()
   return state.admit(state, record)
@@ -159,7 +174,7 @@
 def start_tasks(
     state: state_lib.EntryState, record: state_lib.JobRecord
 ) -> list:
-  """The key is claimed: cancels the job, or sends its tasks."""
+  """Queues the tasks of a job whose key is claimed, or ends a cancelled job."""
   record.phase = state_lib.Phase.RUNNING
   if record.cancelled:
     return finish_job(state, record, answers.cancelled(record.job))
@@ -175,7 +190,7 @@
 def task_finished(
     state: state_lib.EntryState, event: events.TaskFinished
 ) -> list:
-  """Takes an endpoint's answer to one task."""
+  """Handles the result of one task."""
   state.endpoints.record_finish(event.endpoint)
   record = state.jobs.get(event.key)
   if record is None or event.task_id not in record.in_flight:
@@ -188,7 +203,7 @@
     return dispatch.dispatch(state)
   effects = []
   if codes.task_ran(event.code) == codes.Ran.NOT_RUN:
-    effects = _not_started(state, record, event)
+    effects = _retry_unstarted(state, record, event)
   else:
     record.answers[event.task_id] = messages.TaskAnswer(
         event.task_id, event.code, event.result
@@ -200,8 +215,8 @@
   return effects + dispatch.dispatch(state)
 
 
-def _not_started(state, record, event: events.TaskFinished) -> list:
-  """The endpoint did not start the task: it may go elsewhere, safely."""
+def _retry_unstarted(state, record, event: events.TaskFinished) -> list:
+  """Requeues a task that its endpoint did not start, up to a retry limit."""
   record.retries += 1
   state.counters["not_started"] += 1
   if record.retries > MAX_NOT_STARTED_RETRIES * len(record.job.tasks):
@@ -219,7 +234,7 @@
 
 
 def fail_job(state, record, not_run: codes.Code) -> list:
-  """Ends a running job now: tasks sent are unknown, the rest `not_run`."""
+  """Ends a running job now: tasks in flight are unknown, unsent `not_run`."""
   state.counters["failed"] += 1
   retry_after_s = state.limits.retry_after_s
   return finish_job(
@@ -228,7 +243,7 @@
 
 
 def finish_job(state, record, answer: messages.JobAnswer) -> list:
-  """Gives the final answer to every waiter, keeps it and copies it."""
+  """Sends the final answer to every waiter, stores it and replicates it."""
   claimed = record.phase is state_lib.Phase.RUNNING
   record.final_answer = answer
   record.phase = state_lib.Phase.DONE
@@ -236,18 +251,19 @@
   record.waiters.clear()
   nothing_ran = all(t.ran == codes.Ran.NOT_RUN for t in answer.tasks)
   if claimed and nothing_ran and not record.cancelled:
-    # Nothing started, so a retry may run the job afresh.
+    # No task started, so a retry of the job may run from the beginning.
     return effects + discard_record(state, record)
   if claimed:
-    # The copy goes first: the answer survives this host once it is given.
-    effects = _copy_answer(state, record) + effects
+    # Replicate first: an answer that a caller has got must survive a crash of
+    # this host.
+    effects = _replicate_answer(state, record) + effects
   keep_until = state.now + state.limits.answer_keep_s
   state.schedule(keep_until, lambda s: _expire(s, record))
   return effects
 
 
-def _copy_answer(state, record) -> list:
-  """Gives one holder the answer, for callers that ask after a crash."""
+def _replicate_answer(state, record) -> list:
+  """Replicates the answer to holders, for retries after this host crashes."""
   claim = make_claim(state, record)
   state.claims.put(claim, state.now)
   remote = _remote_holders(state, claim.key)
@@ -259,7 +275,7 @@
 
 
 def _remote_holders(state, key: str) -> list[events.Member]:
-  """Returns the key's other holders, those on other racks first."""
+  """Returns the key's other holders; those on other racks come first."""
   view = state.membership.view
   names = view.holders(key) if view else ()
   me = state.member(state.name)
@@ -269,7 +285,7 @@
 
 
 def make_claim(state, record) -> claims.Claim:
-  """Returns the coordinator's claim of a record's key, as it stands now."""
+  """Returns the coordinator's current claim of a record's key."""
   keep_s = state.limits.answer_keep_s + CLAIM_KEEP_EXTRA_S
   return claims.Claim(
       key=record.job.key,
@@ -282,7 +298,7 @@
 
 
 def discard_record(state, record) -> list:
-  """Drops a record that started nothing and gives its claim up."""
+  """Deletes the record of a job that started no task; releases its claim."""
   record.phase = state_lib.Phase.DONE
   if state.jobs.get(record.job.key) is record:
     del state.jobs[record.job.key]
@@ -295,14 +311,14 @@
 
 
 def refuse_all(state, record, error: errors.FescueError) -> list:
-  """Refuses every waiter of a job that was not claimed, and forgets it."""
+  """Refuses every waiter of a job whose key was not claimed; deletes it."""
   effects = [refuse(state, w, error) for w in record.waiters]
   record.waiters.clear()
   state.counters["refused"] += len(effects)
   return effects + discard_record(state, record)
 
 
-def _deadline(state, record) -> list:
+def _handle_deadline(state, record) -> list:
   if record.done:
     return []
   if record.phase is state_lib.Phase.RUNNING:
@@ -314,13 +330,13 @@
   """Returns the refusal of a request whose key could not be claimed."""
   return errors.FescueError(
       f"key {record.job.key!r} could not be claimed; this request started"
-      " nothing",
+      " no task",
       codes.Code.NO_OWNER,
   )
 
 
 def _expire(state, record) -> list:
-  """Forgets a kept answer once nothing of its job is in flight."""
+  """Deletes a finished job's record once none of its tasks is in flight."""
   if record.in_flight:
     retry = state.now + 1.0
     state.schedule(retry, lambda s: _expire(s, record))
@@ -330,7 +346,7 @@
 
 
 def is_idle(state: state_lib.EntryState) -> bool:
-  """True when no job is open and no task is in flight."""
+  """Returns True when no job is open and no task is in flight."""
   if state.forwarded_requests:
     return False
   return all(r.done and not r.in_flight for r in state.jobs.values())
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -1,10 +1,10 @@
-"""Holding claims for others: accepting them, and surviving changes of members.
+"""The holder's side of claims, across membership changes.
 
-The decisions of an entry host as a holder. A claim is accepted only from a
-claimant that sees the same members, only while this host may act, and only
-if no other process claimed the key first. When members go, the hosts that
-gain partitions fetch their claims from every other host (a sync) before
-they vouch for them.
+A holder accepts a claim only if the claimant has the same membership view, if
+this host has a valid lease (or promises that replace it), and if no other
+process claimed the key first. When the membership changes, a host that newly
+holds partitions fetches their claims from every other host (a sync). Until the
+sync is complete, it doesn't count as knowing every claim of those partitions.
 """
 
 from fescueturn import claims
@@ -16,14 +16,14 @@
 SYNC_RETRY_S = 0.05
 PROBE_TIMEOUT_S = 2.0
 # With this share of its lease left, a host has missed a renewal (the lease is
-# renewed three times in its time): the platform does not answer it.
+# renewed three times per TTL), so the platform is not answering it.
 RENEWAL_OVERDUE_SHARE = 0.4
 
 
 def answer_claim(
     state: state_lib.EntryState, request: claims.ClaimRequest
 ) -> claims.ClaimReply:
-  """Decides on a claim as one of the key's holders."""
+  """Decides on a claim, as one of the key's holders."""
   membership = state.membership
   claim = request.claim
   if membership.view is None or request.view != membership.view.digest:
@@ -41,10 +41,10 @@
 def answer_sync(
     state: state_lib.EntryState, request: claims.SyncRequest
 ) -> claims.SyncReply:
-  """Gives a new holder the claims it asks for.
+  """Returns the claims that a new holder requests.
 
-  A host that has gone from the asker's view answers in any view. If it has
-  not rejoined since, it accepts no claims in its own view from then on.
+  A host that is no longer in the asker's view replies in any view. If it has
+  not rejoined since, it fences itself: it accepts no more claims in its view.
   """
   membership = state.membership
   if request.departed_lease:
@@ -60,21 +60,23 @@
 def answer_probe(
     state: state_lib.EntryState, request: claims.ProbeRequest
 ) -> claims.ProbeReply:
-  """Promises a lapsed host not to act without it in a platform outage.
+  """Decides on the promise that a host with an expired lease requests.
 
-  That is, if both see one view and this host cannot renew its lease either.
-  A host whose platform answers promises nothing: the asker alone is cut off,
-  and will soon be gone from this host's view.
+  The promise is not to accept claims in a view without the asker. It is given
+  only in a platform outage: both hosts have the same view, and this host can't
+  renew its lease either. A host that still reaches the platform gives none,
+  because then only the asker is partitioned, and will soon be removed from
+  this host's view.
   """
   membership = state.membership
   view = membership.view
-  renewal_due = (
+  renewal_overdue_at = (
       membership.lease_until - RENEWAL_OVERDUE_SHARE * state.limits.lease_ttl_s
   )
   agrees = (
       view is not None
       and view.digest == request.view
-      and state.now >= renewal_due
+      and state.now >= renewal_overdue_at
   )
   if agrees:
     membership.promises[request.asker] = state.now + views.PROMISE_S
@@ -84,7 +86,7 @@
 def handle_lease_renewal(
     state: state_lib.EntryState, event: events.LeaseRenewed
 ):
-  """Takes a renewed lease."""
+  """Stores the renewed lease and its expiry time."""
   state.membership.lease = event.lease
   state.membership.lease_until = event.until
 
@@ -92,7 +94,7 @@
 def change_view(
     state: state_lib.EntryState, event: events.MembersChanged
 ) -> list:
-  """Moves to the next view and starts fetching what it makes this host hold."""
+  """Installs the next view and starts to sync the partitions newly held."""
   membership = state.membership
   before = membership.view
   membership.view = views.make_view(event.members)
@@ -101,7 +103,7 @@
   elif membership.view == before:
     return []
   if before is not None:
-    _note_departed(state, before)
+    _record_departed(state, before)
   for name in [n for n in membership.departed if membership.view.member(n)]:
     del membership.departed[name]
   mine = membership.view.partitions_of(state.name)
@@ -110,29 +112,29 @@
   return start_sync(state)
 
 
-def _note_departed(state: state_lib.EntryState, before: views.View):
-  """Remembers members that went without leaving first: they may still run."""
+def _record_departed(state: state_lib.EntryState, before: views.View):
+  """Records members that vanished without draining; they may still run."""
   membership = state.membership
   grace = state.limits.lease_ttl_s
   for member in before.members:
-    gone = membership.view.member(member.name) is None
-    if gone and not member.leaving and member.name != state.name:
+    missing = membership.view.member(member.name) is None
+    if missing and not member.leaving and member.name != state.name:
       membership.departed[member.name] = member
-      state.schedule(state.now + grace, _forget_departed(member))
+      state.schedule(state.now + grace, _expire_departed(member))
 
 
-def _forget_departed(member: events.Member) -> state_lib.TimerCallback:
+def _expire_departed(member: events.Member) -> state_lib.TimerCallback:
   def forget(state: state_lib.EntryState) -> list:
     if state.membership.departed.get(member.name) == member:
       del state.membership.departed[member.name]
-      return _answered(state, member.name)
+      return _stop_awaiting(state, member.name)
     return []
 
   return forget
 
 
 def start_sync(state: state_lib.EntryState) -> list:
-  """Asks everyone for the partitions held but not trusted in this view."""
+  """Requests the claims of partitions held here but not yet trusted."""
   membership = state.membership
   membership.sync = None
   if not membership.is_member:
@@ -144,11 +146,11 @@
   membership.sync = views.SyncRound(wanted, asked)
   state.counters["syncs"] += 1
   if not asked:
-    return _finish_sync(state)
-  return [_sync_ask(state, member) for member in asked.values()]
+    return _complete_sync(state)
+  return [_sync_request(state, member) for member in asked.values()]
 
 
-def _sync_ask(
+def _sync_request(
     state: state_lib.EntryState, member: events.Member
 ) -> events.SendPeerRequest:
   membership = state.membership
@@ -165,7 +167,7 @@
 def handle_sync_reply(
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
-  """Takes one host's claims; asks again while it is not ready."""
+  """Stores one host's claims; retries if it did not reply or is not ready."""
   membership = state.membership
   for claim in event.reply.claims if event.reply is not None else ():
     state.claims.merge(claim, state.now)
@@ -175,31 +177,31 @@
     return []
   if event.dead or (event.reply is not None and event.reply.ready):
     membership.departed.pop(name, None)
-    return _answered(state, name)
+    return _stop_awaiting(state, name)
   state.schedule(
-      state.now + SYNC_RETRY_S, _ask_again(sync, event.request.member)
+      state.now + SYNC_RETRY_S, _retry_sync(sync, event.request.member)
   )
   return []
 
 
-def _ask_again(sync, member: events.Member) -> state_lib.TimerCallback:
+def _retry_sync(sync, member: events.Member) -> state_lib.TimerCallback:
   def request(state: state_lib.EntryState) -> list:
     if state.membership.sync is sync and member.name in sync.awaiting:
-      return [_sync_ask(state, member)]
+      return [_sync_request(state, member)]
     return []
 
   return request
 
 
-def _answered(state: state_lib.EntryState, name: str) -> list:
+def _stop_awaiting(state: state_lib.EntryState, name: str) -> list:
   sync = state.membership.sync
   if sync is None:
     return []
   sync.awaiting.pop(name, None)
-  return [] if sync.awaiting else _finish_sync(state)
+  return [] if sync.awaiting else _complete_sync(state)
 
 
-def _finish_sync(state: state_lib.EntryState) -> list:
+def _complete_sync(state: state_lib.EntryState) -> list:
   membership = state.membership
   membership.trusted |= membership.sync.wanted
   membership.sync = None
@@ -207,7 +209,7 @@
 
 
 def start_probe(state: state_lib.EntryState) -> list:
-  """With the lease lapsed, asks every other member for its promise."""
+  """Requests promises from all other members while the lease is expired."""
   membership = state.membership
   if not (membership.is_member and membership.lease_expired(state.now)):
     return []
@@ -219,7 +221,7 @@
       membership.view.digest, state.now, {m.name for m in others}
   )
   state.counters["probes"] += 1
-  _finish_probe(state)
+  _complete_probe(state)
   request = claims.ProbeRequest(membership.view.digest, state.me)
   return [events.SendPeerRequest(m, request, PROBE_TIMEOUT_S) for m in others]
 
@@ -227,18 +229,18 @@
 def handle_probe_reply(
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
-  """Counts a promise, or a member that surely no longer runs."""
+  """Records a promise, or that a member's process has certainly ended."""
   membership = state.membership
   round_ = membership.probe
   if round_ is None or event.request.message.view != round_.view:
     return []
   if event.dead or (event.reply is not None and event.reply.agrees):
     round_.awaiting.discard(event.request.member.name)
-    _finish_probe(state)
+    _complete_probe(state)
   return []
 
 
-def _finish_probe(state: state_lib.EntryState):
+def _complete_probe(state: state_lib.EntryState):
   membership = state.membership
   round_ = membership.probe
   if not round_.awaiting and round_.view == membership.view.digest:
@@ -246,7 +248,7 @@
 
 
 def remove_expired(state: state_lib.EntryState):
-  """Forgets claims and promises whose time is over."""
+  """Removes expired claims and promises."""
   state.claims.expire(state.now)
   promises = state.membership.promises
   for token in [t for t, until in promises.items() if until <= state.now]:
--- a/fescueturn/placement.py
+++ b/fescueturn/placement.py
@@ -1,11 +1,11 @@
-"""Placement: which endpoint takes the next task, and whose task goes next.
-
-`EndpointTable` picks the endpoint expected to be the quickest among those
-with a free slot in this entry host's share. It leaves out endpoints that
-are leaving, cannot be reached, or fail what they start: failing fast would
-otherwise make a broken endpoint look idle and draw every task to it.
-`TaskQueue` holds tasks waiting for a slot and takes them team by team, so
-one team's burst does not hold up another's tasks.
+"""Placement of tasks: endpoint selection, and the queue of waiting tasks.
+
+`EndpointTable` picks the endpoint with the lowest expected delay among those
+with a free slot in this entry host's share. It excludes endpoints that are
+leaving, unreachable, or fail the tasks they start: an endpoint that fails fast
+would otherwise look idle and attract every task. `TaskQueue` holds the tasks
+that wait for a slot and serves the teams in turn (round robin), so a burst of
+one team does not delay the tasks of another.
 """
 
 import collections
@@ -17,24 +17,36 @@
 from fescueturn import routing
 
 UNREACHABLE_PAUSE_S = 2.0
-# Failures in a row, each in another job, after which an endpoint is left out.
+# Number of consecutive failures, each in a different job, after which an
+# endpoint is ejected.
 FAILURES_TO_EJECT = 2
 EJECT_MIN_S = 2.0
 EJECT_MAX_S = 60.0
-# Weight of the newest task in an endpoint's slowness average.
+# Weight of the newest task in the moving average of an endpoint's slowness.
 SLOWNESS_WEIGHT = 0.2
 SLOWNESS_FLOOR = 1.0
-# Shorter declared run times say nothing about an endpoint's speed.
+# Declared run times below this are too short to measure an endpoint's speed;
+# they count as this long.
 SLOWNESS_MIN_MS = 50.0
 
 
 class _Health:
-  """What this entry host has seen of one endpoint."""
+  """This entry host's load and health data for one endpoint.
+
+  Attributes:
+    busy: how many of its slots this entry host fills.
+    share: how many of its slots this entry host may fill.
+    excluded_until: until when it gets no tasks.
+    failed_jobs: keys of the jobs with failures since its last success.
+    ejections: consecutive ejections; each doubles the next one's duration.
+    slowness: moving average of actual to declared run time, at least 1.
+    stamp: stamp of its latest heap entry; older entries are stale.
+  """
 
   def __init__(self):
     self.busy = 0
     self.share = 0
-    self.out_until = 0.0
+    self.excluded_until = 0.0
     self.failed_jobs: set[str] = set()
     self.ejections = 0
     self.slowness = SLOWNESS_FLOOR
@@ -42,7 +54,7 @@
 
 
 class EndpointTable:
-  """The data centre's endpoints, least loaded first, per service."""
+  """The data centre's endpoints, ordered by load for each service."""
 
   def __init__(self, me: str):
     self._me = me
@@ -51,11 +63,11 @@
     self._services: frozenset[str] = frozenset()
     self._health: dict[str, _Health] = collections.defaultdict(_Health)
     self._heaps: dict[str, list] = collections.defaultdict(list)
-    self._out: list[tuple[float, str]] = []
+    self._excluded: list[tuple[float, str]] = []
     self._stamps = itertools.count(1)
 
   def update(self, endpoints: Iterable[events.EndpointInfo]):
-    """Takes the host list's present view of the endpoints."""
+    """Replaces the endpoints by those in the current host list."""
     self._endpoints = {e.name: e for e in endpoints}
     self._services = frozenset(
         service
@@ -69,7 +81,7 @@
     self._rebuild()
 
   def set_entry_hosts(self, names: tuple[str, ...]):
-    """Takes the entry hosts that share the endpoints' slots."""
+    """Sets the entry hosts that share the endpoints' slots."""
     self._names = names if self._me in names else (*names, self._me)
     self._rebuild()
 
@@ -81,7 +93,7 @@
       self._push(name)
 
   def _push(self, name: str):
-    """Puts an endpoint where its load places it, if it can take a task."""
+    """Adds an endpoint to its services' heaps, if it can take a task."""
     info = self._endpoints.get(name)
     health = self._health[name]
     health.stamp = next(self._stamps)
@@ -92,56 +104,60 @@
       heapq.heappush(self._heaps[service], (load, name, health.stamp))
 
   def listed(self) -> list[events.EndpointInfo]:
-    """Returns every endpoint of the host list's present view."""
+    """Returns every endpoint in the current host list."""
     return list(self._endpoints.values())
 
   def has_service(self, service: str) -> bool:
-    """True when some endpoint of `service` is listed and not leaving."""
+    """Returns True if an endpoint of `service` is listed and not leaving."""
     return service in self._services
 
   def pick(self, service: str, now: float) -> events.EndpointInfo | None:
-    """Returns the endpoint of `service` to send the next task to, or None."""
-    while self._out and self._out[0][0] <= now:
-      self._push(heapq.heappop(self._out)[1])
+    """Returns the endpoint for the next task of `service`, or None."""
+    while self._excluded and self._excluded[0][0] <= now:
+      self._push(heapq.heappop(self._excluded)[1])
     heap = self._heaps[service]
     while heap:
       _, name, stamp = heap[0]
       health = self._health[name]
       if health.stamp != stamp:
         heapq.heappop(heap)
-      elif health.out_until > now:
+      elif health.excluded_until > now:
         heapq.heappop(heap)
-        heapq.heappush(self._out, (health.out_until, name))
+        heapq.heappush(self._excluded, (health.excluded_until, name))
       else:
         return self._endpoints[name]
     return None
 
   def record_start(self, name: str):
-    """Notes a task sent to an endpoint."""
+    """Records that a task was sent to an endpoint."""
     self._health[name].busy += 1
     self._push(name)
 
   def record_finish(self, name: str):
-    """Notes that a task sent to an endpoint no longer fills a slot."""
+    """Records that a task no longer fills a slot of an endpoint."""
     self._health[name].busy -= 1
     self._push(name)
 
   def mark_unreachable(self, name: str, now: float):
-    """Leaves out an endpoint that could not be connected to."""
-    self._health[name].out_until = now + UNREACHABLE_PAUSE_S
+    """Excludes an unreachable or stalled endpoint for `UNREACHABLE_PAUSE_S`."""
+    self._health[name].excluded_until = now + UNREACHABLE_PAUSE_S
 
   def record_failure(self, name: str, key: str, now: float):
-    """Notes a task of the job `key` that the endpoint started and failed."""
+    """Records a failed task of the job `key`; may eject the endpoint.
+
+    Repeated failures of the same job count once, so that a job that fails
+    everywhere ejects no endpoint.
+    """
     health = self._health[name]
     health.failed_jobs.add(key)
     if len(health.failed_jobs) >= FAILURES_TO_EJECT:
       pause = min(EJECT_MAX_S, EJECT_MIN_S * 2**health.ejections)
-      health.out_until = now + pause
+      health.excluded_until = now + pause
       health.ejections += 1
       health.failed_jobs.clear()
 
   def record_success(self, name: str, elapsed_ms: float, declared_ms: float):
-    """Notes a task done, and how its time compares with the one declared."""
+    """Records a finished task, and its actual and declared run times."""
     health = self._health[name]
     health.failed_jobs.clear()
     health.ejections = 0
@@ -149,13 +165,13 @@
     health.slowness += SLOWNESS_WEIGHT * (ratio - health.slowness)
 
   def snapshot(self, now: float) -> dict:
-    """Returns a JSON-ready dump."""
+    """Returns a JSON-serialisable dump."""
     return {
         name: {
             "leaving": info.leaving,
             "busy": self._health[name].busy,
             "share": self._health[name].share,
-            "left_out": self._health[name].out_until > now,
+            "left_out": self._health[name].excluded_until > now,
             "slowness": round(self._health[name].slowness, 2),
         }
         for name, info in sorted(self._endpoints.items())
@@ -167,7 +183,11 @@
 
 
 class TaskQueue:
-  """Tasks waiting for a slot, in order within each team."""
+  """Tasks that wait for a slot: a FIFO queue for each team.
+
+  Attributes:
+    busy: number of tasks in flight, by team.
+  """
 
   def __init__(self):
     self._teams: dict[str, collections.deque[tuple[str, str]]] = {}
@@ -178,24 +198,24 @@
 
   @property
   def teams(self) -> list[str]:
-    """Teams with waiting tasks, the one longest unserved first."""
+    """The teams with waiting tasks, least recently served first."""
     return list(self._teams)
 
   def add(self, team: str, key: str, task_ids: Iterable[str]):
-    """Adds a job's tasks behind the team's others."""
+    """Appends a job's tasks to the team's queue."""
     queue = self._teams.setdefault(team, collections.deque())
     queue.extend((key, task_id) for task_id in task_ids)
 
   def requeue(self, team: str, key: str, task_id: str):
-    """Puts a task back in front of the team's others."""
+    """Puts a task back at the front of the team's queue."""
     self._teams.setdefault(team, collections.deque()).appendleft((key, task_id))
 
   def peek(self, team: str) -> tuple[str, str]:
-    """Returns the team's next (key, task id)."""
+    """Returns the team's next task as (key, task id), without removing it."""
     return self._teams[team][0]
 
   def take(self, team: str):
-    """Removes the team's next task; the team goes behind the others."""
+    """Removes the team's next task; moves the team to the end of the round."""
     queue = self._teams.pop(team)
     queue.popleft()
     if queue:
--- a/fescueturn/reducer.py
+++ b/fescueturn/reducer.py
@@ -1,10 +1,10 @@
-"""The entry host's decisions: one reducer over all events, effects as data.
+"""The entry host's reducer: applies events to the state, returns effects.
 
 `reduce(state, event, now)` updates an `EntryState` and returns the effects
-for the I/O shell to carry out. It does no I/O and reads no clock. The
-decisions themselves are in `jobs` and `dispatch` (a job at its coordinator),
-`claiming` (the coordinator's claims), `ownership` (claims held for others,
-changes of members) and `placement` (endpoints and the task queue).
+for the I/O shell to execute. It does no I/O and reads no clock. The decisions
+are made in these modules: `jobs` and `dispatch` (a job at its coordinator),
+`claiming` (the coordinator's claims), `ownership` (claims held for other
+hosts, membership changes) and `placement` (endpoints and the task queue).
 """
 
 from fescueturn import baseline
@@ -27,9 +27,9 @@
 
   Args:
     name: the entry host's name.
-    boot: tells this process from earlier ones of the same name.
-    limits: the settings its decisions use.
-    naive: True for the bench's baseline (see `baseline`).
+    boot: id of this process, different from earlier ones of the same name.
+    limits: the settings that the reducer uses.
+    naive: True for the benchmark's baseline (see `baseline`).
   """
   limits = limits or state_lib.Limits()
   if naive:
@@ -40,15 +40,15 @@
 def reduce(
     state: state_lib.EntryState, event: events.Event, now: float | None = None
 ) -> list[events.Effect]:
-  """Applies one event to `state` and returns the effects to carry out.
+  """Applies one event to `state` and returns the effects to execute.
 
   Args:
     state: the entry host's state; changed in place.
-    event: what happened.
+    event: the event to apply.
     now: the timer service's time in seconds; None leaves `state.now` as is.
 
   Returns:
-    The effects, in the order to carry them out.
+    The effects, in the order in which to execute them.
   """
   if now is not None:
     state.now = now
@@ -58,7 +58,7 @@
   return effects
 
 
-def _on_request(state, event: events.JobArrived) -> list:
+def _on_job(state, event: events.JobArrived) -> list:
   waiter = state_lib.Waiter(event.request_id, event.job, event.hops)
   return jobs.handle_request(state, waiter)
 
@@ -68,8 +68,8 @@
   return jobs.handle_request(state, waiter)
 
 
-def _on_peer(state, event: events.PeerRequestReceived) -> list:
-  """Answers a peer's message."""
+def _on_peer_request(state, event: events.PeerRequestReceived) -> list:
+  """Handles a message from a peer."""
   message = event.message
   if isinstance(message, claims.ForwardJob):
     waiter = state_lib.Waiter(event.request_id, message.job, message.hops)
@@ -139,7 +139,8 @@
   if current is not None and current.revision >= event.revision:
     state.counters["stale_settings"] += 1
     return []
-  # A removal is kept as a tombstone so an older revision cannot revive it.
+  # A removal stays as a tombstone: an older revision that arrives later must
+  # not restore the settings.
   entry = state_lib.TeamEntry(event.revision, event.team_settings)
   state.teams[event.team] = entry
   return dispatch.dispatch(state)
@@ -152,9 +153,9 @@
 
 
 _HANDLERS = {
-    events.JobArrived: _on_request,
+    events.JobArrived: _on_job,
     events.CancelArrived: _on_cancel,
-    events.PeerRequestReceived: _on_peer,
+    events.PeerRequestReceived: _on_peer_request,
     events.PeerReplyReceived: _on_peer_reply,
     events.StoreClaimed: baseline.store_claimed,
     events.TaskFinished: jobs.task_finished,
--- a/fescueturn/routing.py
+++ b/fescueturn/routing.py
@@ -1,10 +1,11 @@
-"""Routing: which entry hosts hold a key's claim, and whose slots are whose.
-
-Keys fall into a fixed number of partitions. Rendezvous (highest random
-weight) hashing over the entry hosts of the data centre gives each partition
-its holders, on different racks, so every submission of a key meets the same holders without a
-store write, and a change of members moves only the partitions of the host
-that came or went. The same hashing splits each endpoint's slots.
+"""Assigns keys to holders, and shares of endpoint slots to entry hosts.
+
+Keys map to a fixed number of partitions. Rendezvous (highest random weight)
+hashing over the entry hosts of the data centre assigns each partition its
+holders, on different racks. Every submission of a key therefore reaches the
+same holders without a store write, and a membership change moves only the
+partitions of the host that joined or left. The same hashing divides each
+endpoint's slots among the entry hosts.
 """
 
 import dataclasses
@@ -28,13 +29,13 @@
 
 @functools.lru_cache(maxsize=1024)
 def _weights(name: str) -> tuple[int, ...]:
-  """Returns `name`'s weight in every partition."""
+  """Returns the rendezvous weight of the host `name` for each partition."""
   return tuple(_hash(f"{name}\0{p}") for p in range(PARTITIONS))
 
 
 @dataclasses.dataclass(frozen=True)
 class Host:
-  """An entry host that may hold claims, and its rack ("": a rack of its own)."""
+  """An entry host that may hold claims; `rack` "" counts as its own rack."""
 
   name: str
   rack: str = ""
@@ -58,7 +59,7 @@
 
 
 def _pick_holders(weights: tuple[int, ...], hosts) -> tuple[str, ...]:
-  """Returns one partition's holders: by weight, a rack once if possible."""
+  """Returns a partition's holders by weight, on different racks if possible."""
   ranked = [hosts[weights.index(w)] for w in sorted(weights, reverse=True)]
   chosen, racks = [], set()
   for host in ranked:
@@ -74,14 +75,15 @@
 def slot_share(endpoint: str, slots: int, names: Sequence[str], me: str) -> int:
   """Returns how many of an endpoint's slots the entry host `me` may fill.
 
-  The shares of all of `names` add up to `slots`: each gets an even part,
-  and the rest goes by rendezvous rank. With more entry hosts than slots,
-  some get none of this endpoint and have their slots elsewhere.
+  The shares of all `names` add up to `slots`: each host gets an equal part, and
+  the remainder goes to the hosts with the highest rendezvous rank. With more
+  entry hosts than slots, some hosts get no slot of this endpoint, and use
+  other endpoints.
   """
   if me not in names:
     return 0
-  even, rest = divmod(slots, len(names))
-  if not rest:
-    return even
+  equal_part, remainder = divmod(slots, len(names))
+  if not remainder:
+    return equal_part
   ranked = sorted(names, key=lambda n: _hash(f"{endpoint}\0{n}"), reverse=True)
-  return even + (ranked.index(me) < rest)
+  return equal_part + (ranked.index(me) < remainder)
--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -1,4 +1,4 @@
-"""What an entry host knows: the state that only the reducer changes."""
+"""The state of an entry host; only the reducer changes it."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TeamEntry:
-  """A team's settings and the KV revision they came from."""
+  """A team's settings (None: removed) and their KV revision."""
 
   revision: int
   team_settings: settings.TeamSettings | None
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Waiter:
-  """A caller's request that waits for its outcome.
+  """A pending request of a caller.
 
   Attributes:
-    request_id: the I/O shell's number for the request.
-    request: the job submitted, or the cancellation.
-    hops: how many entry hosts passed the request on.
+    request_id: the I/O shell's id of the request.
+    request: the submitted job, or the cancellation.
+    hops: how many times entry hosts have forwarded the request.
   """
 
   request_id: int
@@ -39,20 +39,20 @@
 
   @property
   def key(self) -> str:
-    """The idempotency key that the request names."""
+    """The request's idempotency key."""
     return self.request.key
 
 
 @dataclasses.dataclass(frozen=True)
 class ForwardedRequest:
-  """A request passed on to another entry host, waiting for its reply."""
+  """A request forwarded to another entry host, which has not replied yet."""
 
   waiter: Waiter
   member: events.Member
 
 
 class Phase(enum.Enum):
-  """How far a job's coordinator is with it."""
+  """Phase of a job at its coordinator."""
 
   CLAIMING = "claiming"
   RUNNING = "running"
@@ -60,7 +60,14 @@
 
 
 class ClaimRound:
-  """One try at claiming a key: who was asked and what each said."""
+  """One attempt at claiming a key.
+
+  Attributes:
+    view: the membership view in which the claim was made.
+    asked: names of the holders that were sent the claim.
+    replies: replies by holder name; None for a request without a reply.
+    dead: holders whose process has certainly ended.
+  """
 
   def __init__(self, view: views.View, asked: tuple[str, ...]):
     self.view = view
@@ -70,20 +77,20 @@
 
   @property
   def complete(self) -> bool:
-    """True when every holder asked has answered or is known dead."""
+    """True when every holder has replied, timed out or is known dead."""
     return len(self.replies) == len(self.asked)
 
 
 @dataclasses.dataclass(frozen=True)
 class InFlightTask:
-  """A task on its way: the endpoint it went to, and when."""
+  """A task sent to an endpoint, and the time at which it was sent."""
 
   endpoint: str
   sent_at: float
 
 
 class JobRecord:
-  """What a coordinator keeps of one job while it runs and after it ends."""
+  """A coordinator's record of one job, kept for a time after the job ends."""
 
   def __init__(self, job: messages.Job, deadline: float, number: int):
     self.job = job
@@ -110,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-  """The entry host's settings that its decisions use; times in seconds."""
+  """The settings that the reducer uses; times in seconds."""
 
   retry_after_s: int = 1
   answer_keep_s: float = 600.0
@@ -121,7 +128,7 @@
 
 
 class EntryState:
-  """All an entry host knows; changed only by `reducer.reduce`."""
+  """The complete state of an entry host; changed only by `reducer.reduce`."""
 
   def __init__(
       self,
@@ -154,31 +161,31 @@
     return self.me.name
 
   def next_number(self) -> int:
-    """Returns a number higher than any returned before."""
+    """Returns the next number of an increasing sequence."""
     return next(self._numbers)
 
   def schedule(self, when: float, callback: TimerCallback):
-    """Has `callback` called by the first tick at or after `when`."""
+    """Schedules `callback` for the first tick at or after `when`."""
     heapq.heappush(self._timers, (when, self.next_number(), callback))
 
   def pop_due_timer(self) -> TimerCallback | None:
-    """Takes and returns one callback whose time has come, or None."""
+    """Removes and returns the next callback that is due, or None."""
     if self._timers and self._timers[0][0] <= self.now:
       return heapq.heappop(self._timers)[2]
     return None
 
   def team_settings(self, team: str) -> settings.TeamSettings | None:
-    """Returns the team's settings in force, or None."""
+    """Returns the team's current settings, or None."""
     entry = self.teams.get(team)
     return entry.team_settings if entry else None
 
   def member(self, name: str) -> events.Member | None:
-    """Returns the member of the present view with this name."""
+    """Returns the member of the current view with this name, or None."""
     view = self.membership.view
     return view.member(name) if view else None
 
   def snapshot(self) -> dict:
-    """Returns a JSON-ready dump of the state, for `fescueturn dump`."""
+    """Returns a JSON-serialisable dump of the state, for `fescueturn dump`."""
     in_flight = [r for r in self.jobs.values() if not r.done]
     return {
         "name": self.name,
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -1,9 +1,9 @@
-"""Membership views: who the entry hosts are, and what this one may vouch for.
+"""Membership views, and an entry host's state within the membership.
 
-A view is the set of entry hosts of the data centre at one point of the
-platform's revision order. `Membership` holds this host's present view, the
-partitions whose claims it surely knows (trusted), the lease that lets it
-act, and the promises that stand in for leases while the platform is away.
+A view is the set of entry hosts of the data centre at one KV revision.
+`Membership` holds this host's current view, the partitions of which it knows
+every claim (trusted), the lease that permits it to accept claims, and the
+promises that replace leases during a platform outage.
 """
 
 import dataclasses
@@ -13,19 +13,20 @@
 from fescueturn import events
 from fescueturn import routing
 
-# How long a peer's promise lasts, and how often a lapsed host asks for one.
+# How long a peer's promise is valid, and how often a host with an expired lease
+# requests promises.
 PROMISE_S = 5.0
 PROBE_INTERVAL_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
 class View:
-  """The entry hosts of a data centre at one point in the KV's order.
+  """The entry hosts of a data centre at one KV revision.
 
   Attributes:
-    members: in order of name.
-    digest: the same number in every entry host that sees these members.
-    hosts: the members that hold claims (all but the leaving ones).
+    members: all entry hosts, sorted by name.
+    digest: a hash of the members, equal on all entry hosts with this view.
+    hosts: the members that hold claims (all except the leaving ones).
   """
 
   members: tuple[events.Member, ...]
@@ -42,16 +43,16 @@
     return next((m for m in self.members if m.name == name), None)
 
   def runs(self, token: claims.Token) -> bool:
-    """Tells whether this very process is a member."""
+    """Returns True if the process `token` is a member."""
     member = self.member(token.name)
     return member is not None and member.boot == token.boot
 
   def holders(self, key: str) -> tuple[str, ...]:
-    """Returns the names of the holders of `key`, first one first."""
+    """Returns the names of the holders of `key`, highest-ranked first."""
     return routing.holder_table(self.hosts)[routing.partition(key)]
 
   def partitions_of(self, name: str) -> frozenset[int]:
-    """Returns the partitions that the entry host `name` holds."""
+    """Returns the partition numbers that the entry host `name` holds."""
     if name not in self.holder_names:
       return frozenset()
     table = routing.holder_table(self.hosts)
@@ -59,7 +60,7 @@
 
 
 def make_view(members) -> View:
-  """Returns the view of `members` (any order)."""
+  """Returns the view of `members`, which may be in any order."""
   ordered = tuple(sorted(members, key=lambda m: m.name))
   text = repr([(m.name, m.boot, m.lease, m.leaving, m.rack) for m in ordered])
   digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
@@ -70,7 +71,12 @@
 
 
 class SyncRound:
-  """Fetching the claims of gained partitions: who still has to answer."""
+  """A sync in progress.
+
+  Attributes:
+    wanted: the partitions whose claims are requested.
+    awaiting: the hosts that have not sent their claims yet, by name.
+  """
 
   def __init__(self, wanted: frozenset[int], asked: dict[str, events.Member]):
     self.wanted = wanted
@@ -78,7 +84,13 @@
 
 
 class ProbeRound:
-  """Asking every other member, at `sent_at`, for its promise."""
+  """A round of promise requests in progress.
+
+  Attributes:
+    view: digest of the view in which the requests were sent.
+    sent_at: when they were sent.
+    awaiting: names of the members that have not promised yet.
+  """
 
   def __init__(self, view: int, sent_at: float, awaiting: set[str]):
     self.view = view
@@ -87,7 +99,22 @@
 
 
 class Membership:
-  """This entry host's place among the others; changed only by the reducer."""
+  """This entry host's membership state; changed only by the reducer.
+
+  Attributes:
+    me: this process.
+    view: the current view; None before the first.
+    lease: id of this host's lease.
+    lease_until: when the lease expires, by this host's clock.
+    promised_until: until when the promises of all peers replace the lease.
+    promises: promises given to other processes, with their expiry times.
+    fenced_view: digest of a view in which this host accepts no claims.
+    trusted: the partitions of which this host knows every claim.
+    departed: members that vanished without draining and may still run.
+    sync: the sync in progress, or None.
+    probe: the last round of promise requests, or None.
+    next_probe: the earliest time for the next such round.
+  """
 
   def __init__(self, me: claims.Token):
     self.me = me
@@ -105,27 +132,28 @@
 
   @property
   def members(self) -> tuple[events.Member, ...]:
-    """The members of the present view, or none before the first."""
+    """The members of the current view; empty before the first view."""
     return self.view.members if self.view else ()
 
   @property
   def is_member(self) -> bool:
-    """True when the present view has this very process."""
+    """True if this process is a member of the current view."""
     return self.view is not None and self.view.runs(self.me)
 
   def others(self) -> list[events.Member]:
-    """Returns the other members of the present view."""
+    """Returns the other members of the current view."""
     return [m for m in self.members if m.name != self.me.name]
 
   def lease_expired(self, now: float) -> bool:
-    """True when the lease is over by this host's own clock."""
+    """Returns True if the lease has expired by this host's clock."""
     return now >= self.lease_until
 
   def may_accept_claims(self, now: float) -> bool:
-    """Tells whether this host may accept claims at `now`.
+    """Returns True if this host may accept claims at `now`.
 
-    It must be a member, with a lease or every peer's promise in force; and
-    no peer that it made a promise to may be missing from its view.
+    It must be an unfenced member with a valid lease or valid promises from all
+    peers. Every peer to which it gave a promise that is still valid must be in
+    its view.
     """
     if not self.is_member or self.view.digest == self.fenced_view:
       return False
@@ -137,11 +165,11 @@
     )
 
   def trusts(self, key: str) -> bool:
-    """True when this host surely knows every claim of the key's partition."""
+    """Returns True if this host knows every claim of the key's partition."""
     return routing.partition(key) in self.trusted
 
   def snapshot(self, now: float) -> dict:
-    """Returns a JSON-ready dump."""
+    """Returns a JSON-serialisable dump."""
     return {
         "view": f"{self.view.digest:016x}" if self.view else None,
         "is_member": self.is_member,
