--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -73,7 +73,7 @@
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
   """Handles one holder's reply to a claim, or the lack of one."""
-  request = event.request.message
+  request = event.peer_request.message
   record = state.jobs.get(request.claim.key)
   if record is None or record.phase is not state_lib.Phase.CLAIMING:
     return []
@@ -82,7 +82,7 @@
     return []
   if record.number != request.claim.number:
     return []
-  name = event.request.member.name
+  name = event.peer_request.member.name
   round_.replies[name] = event.reply
   if event.dead:
     round_.dead.add(name)
@@ -186,15 +186,15 @@
 
   Without a reply, the request is handled here like a new one.
   """
-  forwarded = state.forwarded_requests.get(event.request.request_id)
-  if forwarded is None or forwarded.member != event.request.member:
+  forwarded = state.forwarded_requests.get(event.peer_request.request_id)
+  if forwarded is None or forwarded.member != event.peer_request.member:
     return []
-  del state.forwarded_requests[event.request.request_id]
+  del state.forwarded_requests[event.peer_request.request_id]
   waiter = forwarded.waiter
   if event.reply is not None:
     return [events.SendOutcome(waiter.request_id, event.reply)]
   if event.dead:
-    state.dead.add(event.request.member.token)
+    state.dead.add(event.peer_request.member.token)
   state.counters["forward_lost"] += 1
   retried = state_lib.Waiter(waiter.request_id, waiter.request, waiter.hops + 1)
   return jobs.handle_request(state, retried)
--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -97,13 +97,13 @@
   """A `SendPeerRequest` ended, with or without a reply.
 
   Attributes:
-    request: the effect that sent the request.
+    peer_request: the effect that sent the request.
     reply: the peer's reply; None if there was none.
     dead: True when the peer's process has certainly ended (its port refuses
       connections, or another process answers there).
   """
 
-  request: "SendPeerRequest"
+  peer_request: "SendPeerRequest"
   reply: claims.Reply | None
   dead: bool = False
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def state():
-  """An entry host alone in its data centre, with one team and two endpoints."""
+  """State of a single entry host in its data centre, one team, 2 endpoints."""
   s = reducer.new_state("entry-1", "boot-1")
   reducer.reduce(s, events.LeaseRenewed(1, until=1000.0))
   reducer.reduce(s, events.MembersChanged((member("entry-1", "boot-1"),)))
@@ -49,7 +49,7 @@
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
-  """The role's processes on a stand-in of the platform."""
+  """The role's processes, connected to a stand-in platform."""
   made = deployments.Deployment(tmp_path_factory.mktemp("role"))
   yield made
   made.close()
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -1,7 +1,8 @@
-"""Entry hosts' reducers joined by messages that a test holds, drops, delivers.
+"""A fake peer network that connects the reducers of several entry hosts.
 
-A small fake at the peer interface: no sockets, no clock but the test's. It
-counts the task starts that the reducers ask for.
+The test decides when each message is delivered, delayed or dropped, and
+controls the clock; there are no sockets. The fake counts the task starts that
+the reducers request.
 """
 
 import collections
@@ -21,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Envelope:
-  """A message on its way; `reply` is set on the way back."""
+  """A message in transit; `reply` is set once it is on the way back."""
 
   source: str
   effect: events.SendPeerRequest | events.SendPeerNotice
@@ -29,6 +30,19 @@
 
 
 class Peers:
+  """Entry hosts, the platform's member list, and the messages in transit.
+
+  Attributes:
+    hosts: the state of each running entry host, by name.
+    store: the member keys in the platform's store, by name.
+    views: the views that each host has not received yet, in order.
+    in_transit: messages and replies that are not delivered yet.
+    senders: messages whose receiver has not replied yet, by request id.
+    starts: number of starts of each task, by downstream key.
+    outcomes: outcomes of callers' requests, by request id.
+    broken_links: pairs of hosts that can't reach each other.
+    running: tasks that run at an endpoint, with their sender's state.
+  """
 
   def __init__(self, names=(), endpoints=1, finish_tasks=True):
     self.now = 0.0
@@ -49,10 +63,10 @@
     )
     for name in names:
       self.join(name)
-    self.run_until_idle()
+    self.run_rounds()
 
   def join(self, name, lease_s=FOREVER_S, rack=""):
-    """Starts a new process of `name`; the store lists it at once."""
+    """Starts a new process of `name` and writes its member key."""
     self.racks[name] = rack
     number = next(self._ids)
     state = reducer.new_state(
@@ -77,38 +91,38 @@
         leaving,
         self.racks[name],
     )
-    self._announce()
+    self._publish_view()
 
   def expire_member(self, name):
-    """The store drops a member."""
+    """Expires the lease of a member, so that the store removes its key."""
     if self.store.pop(name, None) is not None:
-      self._announce()
+      self._publish_view()
 
-  def _announce(self):
+  def _publish_view(self):
     view = tuple(self.store.values())
     for name, state in self.hosts.items():
       fresh = state.membership.view is None and not self.views[name]
       self.views[name].append(events.MembersChanged(view, gap=fresh))
 
   def crash(self, name):
-    """The process dies; what it sent stays on its way."""
+    """Kills a process; the messages it has sent stay in transit."""
     del self.hosts[name]
     self.views.pop(name, None)
 
   def deliver_view(self, name):
-    """Delivers the next view to one host."""
+    """Delivers the next membership view to one host."""
     if name in self.hosts and self.views[name]:
       self._apply(name, self.views[name].pop(0))
 
   def submit(self, name, key="k", tasks=2):
-    """Sends a job to one host; returns the request's id."""
+    """Submits a job to one host and returns the request id."""
     request_id = next(self._ids)
     job = conftest.make_job(key=key, tasks=tasks, idempotent=False)
     self._apply(name, events.JobArrived(request_id, job))
     return request_id
 
   def cancel(self, name, key="k"):
-    """Sends a cancellation to one host; returns the request's id."""
+    """Sends a cancellation to one host and returns the request id."""
     request_id = next(self._ids)
     cancel = state_lib.messages.Cancel("altamaha", key)
     self._apply(name, events.CancelArrived(request_id, cancel))
@@ -118,14 +132,14 @@
     return self.outcomes[request_id].answer
 
   def tick(self, seconds=0.05, names=None):
-    """Moves the time on and ticks hosts (all, unless named)."""
+    """Advances the clock and ticks the hosts `names` (default: all)."""
     self.now += seconds
     for name in list(names or self.hosts):
       if name in self.hosts:
         self._apply(name, events.Tick(self.now))
 
-  def run_until_idle(self, rounds=60):
-    """Delivers every view and letter, and ticks, until nothing moves."""
+  def run_rounds(self, rounds=60):
+    """Delivers all views and messages and ticks, `rounds` times."""
     for _ in range(rounds):
       for name in list(self.hosts):
         while self.views[name]:
@@ -135,23 +149,24 @@
       self.tick()
 
   def deliver(self, index):
-    """Delivers one letter, or its reply, or news that its host is dead."""
-    letter = self.in_transit.pop(index)
-    target = letter.effect.member.name
-    if frozenset((letter.source, target)) in self.broken_links:
-      self._lost(letter)
-    elif letter.reply is not None:
-      self._back(
-          letter.source, events.PeerReplyReceived(letter.effect, letter.reply)
+    """Delivers one message or reply, or reports its receiver as dead."""
+    envelope = self.in_transit.pop(index)
+    target = envelope.effect.member.name
+    if frozenset((envelope.source, target)) in self.broken_links:
+      self._report_lost(envelope)
+    elif envelope.reply is not None:
+      self._return_reply(
+          envelope.source,
+          events.PeerReplyReceived(envelope.effect, envelope.reply),
       )
-    elif self._runs(letter.effect.member):
-      self._hand_over(letter)
-    elif isinstance(letter.effect, events.SendPeerRequest):
-      event = events.PeerReplyReceived(letter.effect, None, dead=True)
-      self._back(letter.source, event)
+    elif self._runs(envelope.effect.member):
+      self._receive(envelope)
+    elif isinstance(envelope.effect, events.SendPeerRequest):
+      event = events.PeerReplyReceived(envelope.effect, None, dead=True)
+      self._return_reply(envelope.source, event)
 
   def finish_task(self, index, code=codes.Code.TASK_DONE):
-    """Has an endpoint answer one task that runs (if its sender still does)."""
+    """Finishes one running task; reports it if its sender still runs."""
     state, sent = self.running.pop(index)
     if self.hosts.get(state.name) is state:
       event = events.TaskFinished(
@@ -160,25 +175,29 @@
       self._apply(state.name, event)
 
   def drop(self, index):
-    """Loses one letter, or its reply, without a trace."""
-    self._lost(self.in_transit.pop(index))
+    """Drops one message or reply; the sender of a request gets no reply."""
+    self._report_lost(self.in_transit.pop(index))
 
   def _runs(self, member):
     state = self.hosts.get(member.name)
     return state is not None and state.me == member.token
 
-  def _hand_over(self, letter):
+  def _receive(self, envelope):
     number = next(self._ids)
-    name = letter.effect.member.name
-    if isinstance(letter.effect, events.SendPeerRequest):
-      self.senders[number] = letter
-    self._apply(name, events.PeerRequestReceived(number, letter.effect.message))
+    name = envelope.effect.member.name
+    if isinstance(envelope.effect, events.SendPeerRequest):
+      self.senders[number] = envelope
+    self._apply(
+        name, events.PeerRequestReceived(number, envelope.effect.message)
+    )
 
-  def _lost(self, letter):
-    if isinstance(letter.effect, events.SendPeerRequest):
-      self._back(letter.source, events.PeerReplyReceived(letter.effect, None))
+  def _report_lost(self, envelope):
+    if isinstance(envelope.effect, events.SendPeerRequest):
+      self._return_reply(
+          envelope.source, events.PeerReplyReceived(envelope.effect, None)
+      )
 
-  def _back(self, name, event):
+  def _return_reply(self, name, event):
     if name in self.hosts:
       self._apply(name, event)
 
@@ -188,24 +207,24 @@
       if isinstance(effect, (events.SendPeerRequest, events.SendPeerNotice)):
         self.in_transit.append(Envelope(name, effect))
       elif isinstance(effect, (events.SendPeerReply, events.SendOutcome)):
-        self._answered(effect)
+        self._record_reply(effect)
       elif isinstance(effect, events.SendTask):
         self.starts[effect.downstream_key] += 1
         self.running.append((state, effect))
         if self._finish:
           self.finish_task(len(self.running) - 1)
 
-  def _answered(self, effect):
+  def _record_reply(self, effect):
     reply = effect.reply if hasattr(effect, "reply") else effect.outcome
-    letter = self.senders.pop(effect.request_id, None)
-    if letter is not None:
-      self.in_transit.append(dataclasses.replace(letter, reply=reply))
+    envelope = self.senders.pop(effect.request_id, None)
+    if envelope is not None:
+      self.in_transit.append(dataclasses.replace(envelope, reply=reply))
     else:
       self.outcomes[effect.request_id] = reply
       self._check_not_run(reply)
 
   def _check_not_run(self, outcome):
-    """A task said not to have run has not started by then."""
+    """Asserts that no task reported as not run has been started."""
     for task in outcome.answer.tasks if outcome.answer else ():
       if task.ran == codes.Ran.NOT_RUN:
         assert not self.starts[f"{outcome.answer.key}/{task.task_id}"]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""End to end: platform, 2 entry hosts and 2 endpoints as separate processes."""
+"""End-to-end tests: platform, 2 entry hosts and 2 endpoints as processes."""
 
 import json
 
@@ -60,7 +60,7 @@
   return results
 
 
-def test_both_teams_get_whole_answers_and_each_task_starts_once(cluster):
+def test_both_teams_get_complete_answers_and_each_task_starts_once(cluster):
   jobs = workload.make_jobs(seed=7, per_team=5, max_tasks=12)
   results = run(submit_all, cluster, jobs)
   for job in jobs:
@@ -120,7 +120,7 @@
         (job_body(tasks=191), 413, codes.Code.JOB_TOO_LARGE),
     ],
 )
-def test_bad_input_gets_its_numbered_error_and_starts_nothing(
+def test_bad_input_gets_its_error_code_and_starts_nothing(
     cluster, body, status, code
 ):
   async def go():
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize(
     "target", ["/v1/jobs/k1", "/v1/jobs?team=altamaha", "/v1/jobs/?team=a"]
 )
-def test_bad_cancellation_gets_its_numbered_error(cluster, target):
+def test_bad_cancellation_gets_its_error_code(cluster, target):
   response = run(pools(cluster)[0].request, "DELETE", target)
   assert response.status == 400
   assert response.json()["code"] == int(codes.Code.BAD_FIELD)
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -1,4 +1,4 @@
-"""Failures acting on real processes: kills, freezes, outages, races."""
+"""Tests failures of real processes: kills, pauses, outages, races."""
 
 import signal
 
@@ -16,7 +16,8 @@
 
 TIME_SCALE = 0.5
 LAG_S = 1.0
-# The host list lags LAG_S, entry hosts poll it every 0.5 s: "a few seconds".
+# A leaving endpoint gets no new task after "a few seconds": the host list lags
+# by LAG_S, entry hosts poll it every 0.5 s, and 1.5 s is margin.
 LEAVING_BOUND_S = LAG_S + 0.5 + 1.5
 
 
@@ -67,7 +68,7 @@
   return (await lab.get(name, "/v1/stats")).json()
 
 
-async def in_flight_at(lab):
+async def find_coordinator(lab):
   """Returns the entry host that coordinates the one job in flight."""
   for name in lab.names("entry"):
     if (await lab.get(name, "/dump")).json()["state"]["jobs_in_flight"]:
@@ -84,29 +85,34 @@
   return total
 
 
-def test_endpoint_killed_mid_job_gives_whole_truthful_answer(cluster):
+def test_endpoint_killed_mid_job_gives_complete_accurate_codes(cluster):
   async def go():
-    the_job = job("kill-endpoint", tasks=9, run_ms=2000)
-    task = await curio.spawn(caller.submit, pool(cluster, "entry-1"), the_job)
+    submitted_job = job("kill-endpoint", tasks=9, run_ms=2000)
+    task = await curio.spawn(
+        caller.submit, pool(cluster, "entry-1"), submitted_job
+    )
     await curio.sleep(0.4)
     cluster.signal("endpoint-1", signal.SIGKILL)
     result = await task.join()
-    return the_job, result, await starts(cluster)
+    return submitted_job, result, await starts(cluster)
 
-  the_job, result, seen = curio.run(go)
+  submitted_job, result, seen = curio.run(go)
   answer = result.answer
-  assert answer is not None and len(answer.tasks) == len(the_job.tasks)
+  assert answer is not None and len(answer.tasks) == len(submitted_job.tasks)
   assert answer.code == codes.Code.JOB_FAILED and answer.retry_after_s >= 1
   assert any(t.ran == codes.Ran.UNKNOWN for t in answer.tasks)
   for t in answer.tasks:
-    key = f"{the_job.key}/{t.task_id}"
+    key = f"{submitted_job.key}/{t.task_id}"
     assert seen.get(key, 0) <= 1
     if t.ran == codes.Ran.NOT_RUN:
       assert seen.get(key, 0) == 0
 
 
-def test_killed_daemon_is_not_taken_for_a_living_one(cluster):
-  """Its connections are closed before its process counts as ended."""
+def test_killed_daemon_is_not_reported_alive(cluster):
+  """Checks `alive` right after a kill.
+
+  The connections of a killed daemon are closed before its process has ended.
+  """
   cluster.signal("endpoint-1", signal.SIGKILL)
   assert not cluster.alive("endpoint-1")
 
@@ -145,7 +151,7 @@
     assert seen["last_start"] - seen["leaving_since"] < LEAVING_BOUND_S
 
 
-def test_planned_stop_cuts_off_nothing_in_flight(cluster):
+def test_graceful_stop_finishes_all_jobs_in_flight(cluster):
   async def go():
     jobs = [job(f"drain-{i}", tasks=3, run_ms=1500) for i in range(6)]
     entry1 = pool(cluster, "entry-1")
@@ -204,7 +210,7 @@
 
 def test_owner_killed_mid_job_then_resubmitted_starts_no_task_twice(cluster):
   async def go():
-    the_job = job(
+    submitted_job = job(
         "kill-owner",
         tasks=6,
         run_ms=2000,
@@ -212,50 +218,50 @@
         idempotent=False,
     )
     entries = {n: pool(cluster, n) for n in cluster.names("entry")}
-    first = await curio.spawn(caller.submit, entries["entry-1"], the_job)
+    first = await curio.spawn(caller.submit, entries["entry-1"], submitted_job)
     await curio.sleep(0.3)
-    owner = await in_flight_at(cluster)
+    owner = await find_coordinator(cluster)
     cluster.signal(owner, signal.SIGKILL)
     other = next(n for n in entries if n != owner)
-    await curio.sleep(4.0)  # The owner's lease (3 s) lapses; keys move.
-    again = await caller.submit(entries[other], the_job)
+    await curio.sleep(4.0)  # The owner's lease (3 s) expires; keys move.
+    again = await caller.submit(entries[other], submitted_job)
     await first.cancel()
-    return the_job, again, await starts(cluster)
+    return submitted_job, again, await starts(cluster)
 
-  the_job, again, seen = curio.run(go)
+  submitted_job, again, seen = curio.run(go)
   assert again.answer is not None and len(again.answer.tasks) == len(
-      the_job.tasks
+      submitted_job.tasks
   )
-  assert all(seen.get(f"{the_job.key}/t{i}", 0) <= 1 for i in range(6))
+  assert all(seen.get(f"{submitted_job.key}/t{i}", 0) <= 1 for i in range(6))
 
 
 def release_job(key, run_ms=2000):
   return job(key, run_ms=run_ms, kind="fuel_release", idempotent=False)
 
 
-def assert_each_started_at_most_once(the_job, seen):
-  for t in the_job.tasks:
-    assert seen.get(f"{the_job.key}/{t.task_id}", 0) <= 1
+def assert_each_started_at_most_once(submitted_job, seen):
+  for t in submitted_job.tasks:
+    assert seen.get(f"{submitted_job.key}/{t.task_id}", 0) <= 1
 
 
-def test_frozen_coordinator_wakes_past_its_lease_and_repeats_nothing(cluster):
+def test_coordinator_paused_past_its_lease_repeats_nothing(cluster):
   async def go():
-    the_job = release_job("freeze")
+    submitted_job = release_job("freeze")
     entries = {n: pool(cluster, n) for n in cluster.names("entry")}
-    first = await curio.spawn(caller.submit, entries["entry-1"], the_job)
+    first = await curio.spawn(caller.submit, entries["entry-1"], submitted_job)
     await curio.sleep(0.3)
     cluster.signal("entry-1", signal.SIGSTOP)
-    await curio.sleep(4.5)  # Its lease (3 s) lapses.
-    meanwhile = await caller.submit(entries["entry-2"], the_job)
+    await curio.sleep(4.5)  # Its lease (3 s) expires.
+    meanwhile = await caller.submit(entries["entry-2"], submitted_job)
     other = await caller.submit(entries["entry-2"], job("other", run_ms=100))
     cluster.signal("entry-1", signal.SIGCONT)
     late = await first.join()
     await cluster.wait_entry_ready("entry-1")
-    again = await caller.submit(entries["entry-1"], the_job)
-    return the_job, meanwhile, other, late, again, await starts(cluster)
+    again = await caller.submit(entries["entry-1"], submitted_job)
+    return submitted_job, meanwhile, other, late, again, await starts(cluster)
 
-  the_job, meanwhile, other, late, again, seen = curio.run(go)
-  assert_each_started_at_most_once(the_job, seen)
+  submitted_job, meanwhile, other, late, again, seen = curio.run(go)
+  assert_each_started_at_most_once(submitted_job, seen)
   assert all(t.ran == codes.Ran.UNKNOWN for t in meanwhile.answer.tasks)
   assert other.answer.complete
   assert late.answer == again.answer and len(late.answer.tasks) == 6
@@ -274,10 +280,13 @@
     return jobs, results, await starts(cluster)
 
   jobs, results, seen = curio.run(go)
-  for i, the_job in enumerate(jobs):
+  for i, submitted_job in enumerate(jobs):
     one, two = results[2 * i], results[2 * i + 1]
     assert one.answer.complete and one.answer == two.answer
-    assert all(seen[f"{the_job.key}/{t.task_id}"] == 1 for t in the_job.tasks)
+    assert all(
+        seen[f"{submitted_job.key}/{t.task_id}"] == 1
+        for t in submitted_job.tasks
+    )
 
 
 def test_entry_host_killed_while_the_platform_is_down(cluster):
@@ -285,7 +294,7 @@
     kv = control.PlatformControl(cluster.platform)
     done = await caller.submit(pool(cluster, "entry-1"), release_job("o", 100))
     await kv.set_fault("down")
-    await curio.sleep(4.0)  # Every lease lapses by its holder's clock.
+    await curio.sleep(4.0)  # All leases expire by their holders' clocks.
     cluster.signal("entry-1", signal.SIGKILL)
     cluster.wait("entry-1")
     entry2 = pool(cluster, "entry-2")
@@ -304,7 +313,7 @@
   assert_each_started_at_most_once(release_job("o", 100), seen)
 
 
-def test_every_entry_host_replaced_in_turn_keeps_the_answers(cluster):
+def test_rolling_restart_of_entry_hosts_keeps_the_answers(cluster):
   async def go():
     jobs = [release_job(f"roll-{i}", run_ms=100) for i in range(8)]
     first = [
@@ -321,11 +330,14 @@
 
   jobs, first, again, seen = curio.run(go)
   assert [r.answer for r in again] == [r.answer for r in first]
-  for the_job in jobs:
-    assert all(seen[f"{the_job.key}/{t.task_id}"] == 1 for t in the_job.tasks)
+  for submitted_job in jobs:
+    assert all(
+        seen[f"{submitted_job.key}/{t.task_id}"] == 1
+        for t in submitted_job.tasks
+    )
 
 
-def test_cancellations_in_a_wave_are_not_lost(cluster):
+def test_burst_of_cancellations_is_not_lost(cluster):
   async def go():
     jobs = [release_job(f"wave-{i}", run_ms=4000) for i in range(30)]
     late = [release_job(f"late-{i}", run_ms=100) for i in range(10)]
@@ -343,15 +355,15 @@
     results = [await r.join() for r in running]
     before = await starts(cluster)
     cluster.signal("entry-1", signal.SIGKILL)
-    tardy = [await caller.submit(entries[1], j) for j in late]
+    resubmitted = [await caller.submit(entries[1], j) for j in late]
     await curio.sleep(1.0)
-    return acks, results, tardy, before, await starts(cluster)
+    return acks, results, resubmitted, before, await starts(cluster)
 
-  acks, results, tardy, before, after = curio.run(go)
+  acks, results, resubmitted, before, after = curio.run(go)
   assert all(a.answer is not None and not a.answer.complete for a in acks)
   assert [a.answer for a in acks[:30]] == [r.answer for r in results]
-  assert all(r.answer.code == codes.Code.JOB_CANCELLED for r in tardy)
-  assert before == after  # Nothing of a cancelled job starts later.
+  assert all(r.answer.code == codes.Code.JOB_CANCELLED for r in resubmitted)
+  assert before == after  # No task of a cancelled job starts later.
   for r in results:
     for t in r.answer.tasks:
       if t.ran == codes.Ran.NOT_RUN:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -1,10 +1,10 @@
-"""Random interleavings of submissions, failures and deliveries, from seeds.
+"""Random interleavings of submissions, failures and deliveries, by seed.
 
-One failure at a time, as the design promises to bear: a host crashes, or
-pauses past its lease and wakes, or leaves; the next comes only once the
-others have synced. Everything else happens in any order: views and messages
-late or lost, joins in bunches, several submissions and cancellations of one
-key, tasks that end at any time, done, failed or with their reply lost.
+The design tolerates one failure at a time, so one host at a time crashes,
+pauses past its lease and resumes, or leaves; the next fails only once the
+others have synced. All other events happen in random order: views and messages
+are delayed or dropped, several hosts join, one key is submitted and cancelled
+several times, and tasks end at any time as done, failed or with a lost reply.
 """
 
 import random
@@ -27,25 +27,25 @@
         "abcd"[: self.rng.randint(2, 4)], finish_tasks=False
     )
     self.spare = list("efgh")
-    self.asleep = None
+    self.paused = None
     self.failed = False
     self.requests = []
 
-  def awake(self):
-    return [n for n in self.peers.hosts if n != self.asleep]
+  def active_hosts(self):
+    return [n for n in self.peers.hosts if n != self.paused]
 
   def submit(self):
-    name = self.rng.choice(self.awake())
+    name = self.rng.choice(self.active_hosts())
     request = self.peers.submit(name)
     self.requests.append((request, self.peers.hosts[name]))
 
   def cancel(self):
-    name = self.rng.choice(self.awake())
+    name = self.rng.choice(self.active_hosts())
     request = self.peers.cancel(name)
     self.requests.append((request, self.peers.hosts[name]))
 
   def outcomes(self):
-    """Returns what became of each request whose entry host still runs."""
+    """Returns the outcome of each request whose entry host still runs."""
     running = list(self.peers.hosts.values())
     return [
         self.peers.outcomes[request]
@@ -54,11 +54,11 @@
     ]
 
   def deliver(self):
-    letters = self.peers.in_transit
+    in_transit = self.peers.in_transit
     ready = [
         i
-        for i, letter in enumerate(letters)
-        if self.asleep not in (letter.source, letter.effect.member.name)
+        for i, envelope in enumerate(in_transit)
+        if self.paused not in (envelope.source, envelope.effect.member.name)
     ]
     if ready:
       self.peers.deliver(self.rng.choice(ready))
@@ -77,47 +77,47 @@
       self.peers.finish_task(index, code)
 
   def deliver_view(self):
-    self.peers.deliver_view(self.rng.choice(self.awake()))
+    self.peers.deliver_view(self.rng.choice(self.active_hosts()))
 
   def tick(self):
-    self.peers.tick(self.rng.choice((0.02, 0.05, 0.3)), self.awake())
+    self.peers.tick(self.rng.choice((0.02, 0.05, 0.3)), self.active_hosts())
 
   def join(self):
     if self.spare:
       self.peers.join(self.spare.pop())
 
   def fail(self):
-    if self.failed or len(self.awake()) < 3:
+    if self.failed or len(self.active_hosts()) < 3:
       return
     self.failed = True
-    name = self.rng.choice(self.awake())
+    name = self.rng.choice(self.active_hosts())
     kind = self.rng.choice(("crash", "pause", "leave"))
     if kind == "crash":
       self.peers.crash(name)
       self.peers.expire_member(name)
       self.spare.append(name)
     elif kind == "pause":
-      self.asleep = name
+      self.paused = name
       self.peers.expire_member(name)
     else:
       self.peers.put_member(name, leaving=True)
 
-  def heal(self):
+  def recover(self):
     if not self.failed:
       return
-    if self.asleep:
-      self.wake()
-    self.peers.run_until_idle()
+    if self.paused:
+      self.resume()
+    self.peers.run_rounds()
     self.failed = False
 
-  def wake(self):
-    name, self.asleep = self.asleep, None
+  def resume(self):
+    name, self.paused = self.paused, None
     if self.rng.random() < 0.5:
       for _ in range(self.rng.randint(1, 10)):
         self.deliver()
     self.peers.put_member(name)
 
-  def play(self):
+  def run_steps(self):
     steps = (
         [self.submit] * 3
         + [self.cancel]
@@ -125,26 +125,29 @@
         + [self.deliver_view] * 8
         + [self.tick] * 6
         + [self.finish] * 4
-        + [self.join, self.fail, self.heal, self.drop]
+        + [self.join, self.fail, self.recover, self.drop]
     )
     for _ in range(STEPS):
       self.rng.choice(steps)()
       self.check()
-    self.heal()
-    self.peers.run_until_idle()
+    self.recover()
+    self.peers.run_rounds()
     self.submit()
-    self.peers.run_until_idle()
+    self.peers.run_rounds()
     while self.peers.running:
       self.finish()
-    self.peers.run_until_idle()
+    self.peers.run_rounds()
     self.check()
 
   def check(self):
     assert max(self.peers.starts.values(), default=0) <= 1
 
 
-def whole(outcome):
-  """Tells whether a request got a refusal, or an answer that is not partial."""
+def is_valid(outcome):
+  """Returns True for a refusal, a failed answer, or a complete one.
+
+  A complete answer must have both tasks done.
+  """
   if outcome.answer is None:
     return outcome.error.code >= codes.Code.BAD_JSON
   done = [t.code == codes.Code.TASK_DONE for t in outcome.answer.tasks]
@@ -156,15 +159,18 @@
   for seed in range(first, first + SEEDS_A_TEST):
     run = Run(seed)
     try:
-      run.play()
-      assert all(whole(outcome) for outcome in run.outcomes())
+      run.run_steps()
+      assert all(is_valid(outcome) for outcome in run.outcomes())
     except (AssertionError, KeyError) as exc:
       raise AssertionError(f"seed {seed}") from exc
 
 
-def test_without_trust_some_interleaving_starts_a_task_twice(monkeypatch):
-  """The check can fail: new holders that vouch at once forget claims."""
+def test_trusting_unsynced_holders_lets_a_task_start_twice(monkeypatch):
+  """Checks that the test above detects a double start.
+
+  New holders that are trusted before their sync miss earlier claims.
+  """
   monkeypatch.setattr(views.Membership, "trusts", lambda self, key: True)
   with pytest.raises(AssertionError):
     for seed in range(500):
-      Run(seed).play()
+      Run(seed).run_steps()
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Claims under failure, on reducers joined by fake peers."""
+"""Tests claims under failures, with reducers connected by fake peers."""
 
 import itertools
 
@@ -21,7 +21,7 @@
 
 
 def key_held_by(first, second, names=NAMES):
-  """Returns a key whose holders among `names` are these two, in this order."""
+  """Returns a key with holders (`first`, `second`) among the hosts `names`."""
   keys = (f"key-{i}" for i in itertools.count())
   return next(k for k in keys if holders(k, names) == (first, second))
 
@@ -35,59 +35,59 @@
   for first, second in itertools.permutations("abc", 2):
     peers = fakepeers.Peers("abc")
     one, two = peers.submit(first), peers.submit(second)
-    peers.run_until_idle()
+    peers.run_rounds()
     assert_started_once(peers)
     assert peers.answer(one) == peers.answer(two)
     assert peers.answer(one).complete
 
 
-def test_dead_coordinator_leaves_a_truthful_unknown():
+def test_retry_after_coordinator_crash_reports_owner_lost():
   peers = fakepeers.Peers("abcd", finish_tasks=False)
   key = key_held_by("a", "b")
   peers.submit("c", key)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   assert_started_once(peers, key)
   peers.crash("c")
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   answer = peers.answer(again)
   assert_started_once(peers, key)
   assert {t.code for t in answer.tasks} == {codes.Code.TASK_UNKNOWN_OWNER_LOST}
   assert answer.retry_after_s >= 1
 
 
-def test_answer_survives_its_coordinator():
+def test_answer_survives_crash_of_its_coordinator():
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   first = peers.submit("c", key)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.crash("c")
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again) == peers.answer(first)
   assert_started_once(peers, key)
 
 
-def test_paused_coordinator_wakes_past_its_lease_and_starts_nothing_new():
+def test_coordinator_paused_past_its_lease_starts_nothing_on_resume():
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
-  peers.submit("c", key)  # Its claims are on their way; c pauses here.
-  held_back, peers.in_transit = peers.in_transit, []
+  peers.submit("c", key)  # c pauses while its claims are in transit.
+  delayed, peers.in_transit = peers.in_transit, []
   peers.expire_member("c")
   for name in "abd":
     peers.deliver_view(name)
   again = peers.submit("d", key)
-  peers.run_until_idle(0)
+  peers.run_rounds(0)
   for _ in range(20):
     while peers.in_transit:
       peers.deliver(0)
     peers.tick(names="abd")
   assert peers.answer(again).complete
-  peers.in_transit = held_back  # c wakes, in its old view.
+  peers.in_transit = delayed  # c resumes, with its old view.
   while peers.in_transit:
     peers.deliver(0)
   assert_started_once(peers, key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert_started_once(peers, key)
 
 
@@ -102,7 +102,7 @@
   peers.crash("a")
   peers.expire_member("a")
   for _ in range(3):
-    for name in "bd":  # c does not see that a has gone.
+    for name in "bd":  # c has not seen that a was removed.
       while peers.views[name]:
         peers.deliver_view(name)
     while peers.in_transit:
@@ -114,9 +114,9 @@
   for name in "bc":
     peers.crash(name)
     peers.expire_member(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -124,23 +124,23 @@
 def test_holders_replaced_by_new_hosts_still_know_the_claim():
   peers = fakepeers.Peers("ab")
   peers.submit("a")
-  peers.run_until_idle()
+  peers.run_rounds()
   for name in "cdefgh":
     peers.join(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   for name in "cdefgh":
     again = peers.submit(name)
-    peers.run_until_idle()
+    peers.run_rounds()
     assert peers.answer(again).complete
   assert_started_once(peers)
 
 
-def test_new_holders_wait_for_their_sync_before_vouching():
+def test_new_holders_are_not_trusted_before_their_sync():
   names = ("a", "b", "c", "d")
   key = key_held_by("c", "d", names)
   peers = fakepeers.Peers("ab")
   peers.submit("a", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   peers.join("c")
   peers.join("d")
   for name in names:
@@ -152,72 +152,72 @@
     peers.deliver(0)
   assert again not in peers.outcomes
   peers.in_transit = syncs
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
 
-def test_holder_that_leaves_hands_its_claims_over():
+def test_claims_of_a_leaving_holder_are_transferred():
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   first = peers.submit("c", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   for name in "ab":
     peers.put_member(name, leaving=True)
-    peers.run_until_idle()
+    peers.run_rounds()
   for name in "ab":
     peers.crash(name)
     peers.expire_member(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   peers.crash("c")
   peers.expire_member("c")
-  peers.run_until_idle()
+  peers.run_rounds()
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert_started_once(peers, key)
   assert peers.answer(again).job_id == peers.answer(first).job_id
 
 
-def test_loss_of_a_whole_rack_forgets_no_claim():
+def test_loss_of_a_whole_rack_loses_no_claim():
   racks = {"a": "r1", "b": "r1", "c": "r2", "d": "r2", "e": "r3"}
   for lost in ("r1", "r2"):
     peers = fakepeers.Peers()
     for name, rack in racks.items():
       peers.join(name, rack=rack)
-    peers.run_until_idle(10)
+    peers.run_rounds(10)
     keys = [f"key-{i}" for i in range(20)]
     for key in keys:
       peers.submit("a" if lost == "r1" else "c", key)
-    peers.run_until_idle(2)
+    peers.run_rounds(2)
     for name in [n for n, rack in racks.items() if rack == lost]:
       peers.crash(name)
     for name in [n for n, rack in racks.items() if rack == lost]:
       peers.expire_member(name)
-    peers.run_until_idle(10)
+    peers.run_rounds(10)
     again = {k: peers.submit(next(iter(peers.hosts)), k) for k in keys}
-    peers.run_until_idle(10)
+    peers.run_rounds(10)
     for key in keys:
       assert_started_once(peers, key)
       assert peers.answer(again[key]).complete
 
 
-def test_platform_outage_peers_stand_in_for_leases():
+def test_peer_promises_replace_leases_in_a_platform_outage():
   peers = fakepeers.Peers("abc")
   for name in "abc":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.tick(10 * fakepeers.TTL_S)
-  peers.run_until_idle()
+  peers.run_rounds()
   done = peers.submit("a", "during")
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(done).complete
 
 
-def test_host_that_alone_lost_the_platform_stops_and_holds_nobody_up():
+def test_host_partitioned_from_the_platform_alone_blocks_no_other():
   peers = fakepeers.Peers("abc")
   peers.put_member("a", lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
-  peers.tick(fakepeers.TTL_S)  # a's lease lapses; b and c renew theirs.
+  peers.run_rounds(2)
+  peers.tick(fakepeers.TTL_S)  # a's lease expires; b and c renew theirs.
   for name in "bc":
     peers.put_member(name)
   while peers.in_transit:
@@ -225,19 +225,19 @@
   assert not any(peers.hosts[n].membership.promises for n in "bc")
   assert not peers.hosts["a"].membership.may_accept_claims(peers.now)
   peers.expire_member("a")
-  peers.run_until_idle(5)
+  peers.run_rounds(5)
   done = peers.submit("b")
-  peers.run_until_idle(5)
+  peers.run_rounds(5)
   assert peers.answer(done).complete
 
 
-def test_host_cut_off_from_the_others_past_its_lease_starts_nothing():
+def test_hosts_partitioned_past_their_lease_start_nothing():
   peers = fakepeers.Peers("abc")
   key = key_held_by("a", "b", ("a", "b", "c"))
   for name in "ab":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
-  # a and b lose the platform and c, but not each other.
+  peers.run_rounds(2)
+  # a and b reach each other, but neither the platform nor c.
   peers.broken_links = {frozenset("ac"), frozenset("bc")}
   peers.expire_member("a")
   peers.expire_member("b")
@@ -259,18 +259,16 @@
   assert_started_once(peers, key)
 
 
-def test_outage_that_ends_every_lease_forgets_no_claim():
+def test_expiry_of_every_lease_in_an_outage_loses_no_claim():
   peers = fakepeers.Peers("abc")
   key = key_held_by("b", "c", ("a", "b", "c"))
   for name in "abc":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.submit("b", key)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.tick(2 * fakepeers.TTL_S)
-  peers.run_until_idle(
-      3
-  )  # Lapsed by their own clocks, they promise each other.
+  peers.run_rounds(3)  # All leases expired, so the hosts exchange promises.
   for name in "abc":
     peers.expire_member(name)
   peers.put_member("a")
@@ -282,28 +280,28 @@
   assert again not in peers.outcomes
   for name in "bc":
     peers.put_member(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
 
-def test_cancel_before_the_job_and_after_its_host_died():
+def test_cancel_before_the_job_survives_its_coordinator():
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   cancelled = peers.cancel("c", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(cancelled).code == codes.Code.JOB_CANCELLED
   for name in "cd":
     late = peers.submit(name, key)
-    peers.run_until_idle()
+    peers.run_rounds()
     answer = peers.answer(late)
     assert [t.code for t in answer.tasks] == [
         codes.Code.TASK_NOT_RUN_CANCELLED
     ] * 2
   peers.crash("c")
-  peers.run_until_idle()
+  peers.run_rounds()
   late = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(late).code == codes.Code.JOB_CANCELLED
   assert not peers.starts
 
@@ -311,18 +309,22 @@
 def test_cancel_reaches_a_running_job_at_another_host():
   peers = fakepeers.Peers("abc", finish_tasks=False)
   job = peers.submit("a")
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   cancel = peers.cancel("c")
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(job).code == codes.Code.JOB_FAILED
   assert peers.answer(cancel) == peers.answer(job)
   assert_started_once(peers)
 
 
-@pytest.mark.parametrize("lost", ["accept", "trusts"])
-def test_without_its_checks_a_task_starts_twice(monkeypatch, lost):
-  """The naive versions fail: the tests above can see a double start."""
-  if lost == "accept":
+@pytest.mark.parametrize("disabled", ["view", "trust"])
+def test_disabling_a_check_lets_a_task_start_twice(monkeypatch, disabled):
+  """Checks that the tests above detect a double start.
+
+  Each case disables one check: that claims of an old view are refused, and
+  that a holder which has not synced is not trusted.
+  """
+  if disabled == "view":
     real = ownership.answer_claim
 
     def any_view(state, request):
@@ -335,6 +337,6 @@
     check = test_claim_made_in_an_old_view_does_not_count
   else:
     monkeypatch.setattr(views.Membership, "trusts", lambda self, key: True)
-    check = test_new_holders_wait_for_their_sync_before_vouching
+    check = test_new_holders_are_not_trusted_before_their_sync
   with pytest.raises(AssertionError):
     check()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -36,7 +36,7 @@
       assert sum(shares) == 8
 
 
-def test_endpoint_that_fails_fast_does_not_draw_the_tasks():
+def test_endpoint_that_fails_fast_does_not_attract_tasks():
   t = table(conftest.endpoint("bad", slots=4), conftest.endpoint("good", 4))
   for n in range(placement.FAILURES_TO_EJECT):
     t.record_start("bad")
@@ -50,7 +50,7 @@
   assert t.pick("speller", later + placement.EJECT_MIN_S + 0.1) is None
 
 
-def test_one_job_that_fails_everywhere_blames_no_endpoint():
+def test_one_job_that_fails_everywhere_ejects_no_endpoint():
   t = table(conftest.endpoint("e1"))
   for _ in range(10):
     t.record_failure("e1", "poison", now=0.0)
@@ -66,7 +66,7 @@
   assert first.count("quick") >= 6
 
 
-def test_team_with_a_long_queue_does_not_hold_up_another():
+def test_team_with_a_long_queue_does_not_delay_another():
   queue = placement.TaskQueue()
   queue.add("big", "k1", [f"t{i}" for i in range(100)])
   queue.add("small", "k2", ["t0"])
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -76,7 +76,7 @@
   assert state.counters["sends"] == 0
 
 
-def test_failed_task_fails_job_at_once_with_truthful_codes(state):
+def test_failed_task_fails_job_at_once_with_accurate_codes(state):
   sends = reducer.reduce(
       state, events.JobArrived(1, conftest.make_job(tasks=5))
   )
@@ -86,11 +86,11 @@
   assert answer.retry_after_s == 1
   by_task = {t.task_id: t.ran for t in answer.tasks}
   assert by_task["t0"] == codes.Ran.RAN
-  assert by_task["t1"] == codes.Ran.UNKNOWN  # Sent, no answer yet.
+  assert by_task["t1"] == codes.Ran.UNKNOWN  # Sent, but not answered yet.
   assert by_task["t4"] == codes.Ran.NOT_RUN  # Never sent.
 
 
-def test_not_started_task_is_sent_again_elsewhere(state):
+def test_task_not_started_is_retried_on_another_endpoint(state):
   sends = reducer.reduce(
       state, events.JobArrived(1, conftest.make_job(tasks=1))
   )
@@ -99,7 +99,7 @@
   assert again[0].endpoint.name != sends[0].endpoint.name
 
 
-def test_non_idempotent_task_with_lost_reply_is_never_resent(state):
+def test_non_idempotent_task_with_lost_reply_is_never_retried(state):
   sends = reducer.reduce(
       state, events.JobArrived(1, conftest.make_job(tasks=1, idempotent=False))
   )
@@ -109,7 +109,7 @@
   assert state.counters["sends"] == 1
 
 
-def test_deadline_gives_up_at_once_with_retry_after(state):
+def test_deadline_fails_job_at_once_with_retry_after(state):
   state.now = 100.0
   reducer.reduce(state, events.JobArrived(1, conftest.make_job(tasks=5)))
   assert reducer.reduce(state, events.Tick(100.5)) == []
@@ -123,7 +123,7 @@
   }
 
 
-def test_no_endpoint_answers_not_run_and_keeps_nothing(state):
+def test_no_endpoint_answers_not_run_and_stores_no_record(state):
   reducer.reduce(state, events.EndpointsChanged(()))
   replies = reducer.reduce(state, events.JobArrived(1, conftest.make_job()))
   assert {t.code for t in replies[0].outcome.answer.tasks} == {
@@ -167,7 +167,7 @@
   assert kinds(effects) == ["SendOutcome", "Drained"]
 
 
-def test_quota_holds_tasks_until_slots_free(state):
+def test_quota_delays_tasks_until_others_finish(state):
   small = settings.TeamSettings(
       service="speller", max_tasks_per_job=5, max_tasks_in_flight=1
   )
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,7 +10,7 @@
   )
 
 
-def test_partitions_spread_evenly_and_losing_a_host_moves_only_its_own():
+def test_partitions_spread_evenly_and_loss_of_a_host_moves_only_its_own():
   before = routing.holder_table(hosts(8))
   load = collections.Counter(name for held in before for name in held)
   mean = routing.PARTITIONS * routing.HOLDERS / 8
@@ -21,13 +21,13 @@
 
 
 def test_holders_are_on_different_racks_where_there_are_any():
-  of = {h.name: h.rack for h in hosts(9, racks=3)}
+  rack_of = {h.name: h.rack for h in hosts(9, racks=3)}
   for held in routing.holder_table(hosts(9, racks=3)):
-    assert len({of[n] for n in held}) == routing.HOLDERS
+    assert len({rack_of[n] for n in held}) == routing.HOLDERS
   for held in routing.holder_table(hosts(4, racks=1)):
     assert len(set(held)) == routing.HOLDERS
 
 
-def test_few_hosts_hold_what_they_can():
+def test_partitions_have_fewer_holders_with_too_few_hosts():
   assert set(routing.holder_table(())) == {()}
   assert set(routing.holder_table(hosts(1))) == {("entry-0",)}
