--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -94,7 +94,7 @@
   round_ = record.round
   if round_.view != state.membership.view:
     return start_claim_round(state, record)
-  live = [n for n in round_.asked if n not in round_.dead]
+  live = [n for n in round_.holders if n not in round_.dead]
   replies = [round_.replies[n] for n in live]
   retriable = (claims.Verdict.STALE_VIEW, claims.Verdict.NOT_READY)
   if any(r is None or r.verdict in retriable for r in replies):
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -124,13 +124,13 @@
 
 
 def _expire_departed(member: events.Member) -> state_lib.TimerCallback:
-  def forget(state: state_lib.EntryState) -> list:
+  def expire(state: state_lib.EntryState) -> list:
     if state.membership.departed.get(member.name) == member:
       del state.membership.departed[member.name]
       return _stop_awaiting(state, member.name)
     return []
 
-  return forget
+  return expire
 
 
 def start_sync(state: state_lib.EntryState) -> list:
@@ -142,12 +142,12 @@
   wanted = membership.view.partitions_of(state.name) - membership.trusted
   if not wanted:
     return []
-  asked = {m.name: m for m in membership.others()} | membership.departed
-  membership.sync = views.SyncRound(wanted, asked)
+  sync_hosts = {m.name: m for m in membership.others()} | membership.departed
+  membership.sync = views.SyncRound(wanted, sync_hosts)
   state.counters["syncs"] += 1
-  if not asked:
+  if not sync_hosts:
     return _complete_sync(state)
-  return [_sync_request(state, member) for member in asked.values()]
+  return [_sync_request(state, member) for member in sync_hosts.values()]
 
 
 def _sync_request(
--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -64,21 +64,21 @@
 
   Attributes:
     view: the membership view in which the claim was made.
-    asked: names of the holders that were sent the claim.
+    holders: names of the holders to which the claim was sent.
     replies: replies by holder name; None for a request without a reply.
     dead: holders whose process has certainly ended.
   """
 
-  def __init__(self, view: views.View, asked: tuple[str, ...]):
+  def __init__(self, view: views.View, holders: tuple[str, ...]):
     self.view = view
-    self.asked = asked
+    self.holders = holders
     self.replies: dict[str, claims.ClaimReply | None] = {}
     self.dead: set[str] = set()
 
   @property
   def complete(self) -> bool:
     """True when every holder has replied, timed out or is known dead."""
-    return len(self.replies) == len(self.asked)
+    return len(self.replies) == len(self.holders)
 
 
 @dataclasses.dataclass(frozen=True)
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -78,9 +78,9 @@
     awaiting: the hosts that have not sent their claims yet, by name.
   """
 
-  def __init__(self, wanted: frozenset[int], asked: dict[str, events.Member]):
+  def __init__(self, wanted: frozenset[int], hosts: dict[str, events.Member]):
     self.wanted = wanted
-    self.awaiting = dict(asked)
+    self.awaiting = dict(hosts)
 
 
 class ProbeRound:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -50,6 +50,6 @@
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
   """The role's processes, connected to a stand-in platform."""
-  made = deployments.Deployment(tmp_path_factory.mktemp("role"))
-  yield made
-  made.close()
+  running = deployments.Deployment(tmp_path_factory.mktemp("role"))
+  yield running
+  running.close()
