--- a/fescueturn/scheduler/keptjobs.py
+++ b/fescueturn/scheduler/keptjobs.py
@@ -4,15 +4,15 @@
 
 from fescueturn.scheduler import crashes
 from fescueturn.scheduler import events
-from fescueturn.scheduler import keeping
 from fescueturn.scheduler import keptevents
+from fescueturn.scheduler import keptrecords
 from fescueturn.scheduler import leases
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 from fescueturn.scheduler import offers
-from fescueturn.scheduler import orders
 from fescueturn.scheduler import outcomes
 from fescueturn.scheduler import ownerstate
+from fescueturn.scheduler import runcontrol
 
 # When to come back to a holder that can't reach the store.
 STORE_AWAY_WAIT_MS = 1000
@@ -20,42 +20,48 @@
 LOAD_PATIENCE_S = 0.5
 
 
-def offered(owner: ownerstate.Owner, offer: linkmessages.Offered):
+def handle_offer(owner: ownerstate.Owner, offer: linkmessages.Offered):
   """Takes a job on its way into the store, or declines it."""
-  keeper = owner.keeper
-  if not keeper.loaded:
-    keeper.early_offers.append(offer)
-  elif offer.job.id in owner.by_id or keeper.knows(offer.job.id):
+  kept_records = owner.kept_records
+  if not kept_records.loaded:
+    kept_records.early_offers.append(offer)
+  elif offer.job.id in owner.by_id or kept_records.is_finished(offer.job.id):
     _tell_accepted(owner, offer)
-  elif offer.job.id in keeper.arriving:
-    keeper.arriving[offer.job.id].append(offer)
-  elif not keeper.takes_new(owner.now):
+  elif offer.job.id in kept_records.unsaved_offers:
+    kept_records.unsaved_offers[offer.job.id].append(offer)
+  elif not kept_records.accepts_new(owner.now):
     _decline_store_away(owner, offer)
-  elif offers.fits(owner, offer):
-    keeper.arriving[offer.job.id] = [offer]
+  elif offers.admit(owner, offer):
+    kept_records.unsaved_offers[offer.job.id] = [offer]
 
 
 def _tell_accepted(owner, offer: linkmessages.Offered):
-  owner.tell(offer.key.party, linkmessages.Accepted(offer.key, offer.number))
+  owner.send_to_coordinator(
+      offer.key.process, linkmessages.Accepted(offer.key, offer.number)
+  )
 
 
 def _decline_store_away(owner, offer: linkmessages.Offered):
-  reason = "store_away" if owner.keeper.stalled(owner.now) else "store_busy"
+  reason = (
+      "store_away" if owner.kept_records.stalled(owner.now) else "store_busy"
+  )
   owner.counters[reason] += 1
-  arriving = len(owner.keeper.arriving)
-  offers.refuse(owner, offer, reason, STORE_AWAY_WAIT_MS, arriving=arriving)
+  arriving = len(owner.kept_records.unsaved_offers)
+  offers.decline(owner, offer, reason, STORE_AWAY_WAIT_MS, arriving=arriving)
 
 
-def loaded(owner: ownerstate.Owner, event: keptevents.KeptLoaded):
+def handle_records_loaded(
+    owner: ownerstate.Owner, event: keptevents.KeptJobsLoaded
+):
   """Takes over the jobs that earlier holders have stored."""
   if event.fence != owner.fence:
     return
   if event.replaced:
-    owner.out(events.log("kept_not_loaded", fence=owner.fence))
+    owner.emit(events.log("kept_not_loaded", fence=owner.fence))
     return
-  keeper = owner.keeper
-  keeper.begin(event)
-  owner.out(
+  kept_records = owner.kept_records
+  kept_records.mark_loaded(event)
+  owner.emit(
       events.log(
           "kept_loaded",
           data_centre=owner.shard.data_centre,
@@ -67,34 +73,36 @@
   for kept in event.jobs:
     _begin(owner, kept.job, kept.progress, resumed=True)
   _settle_early_ends(owner)
-  early, keeper.early_offers = keeper.early_offers, []
+  early, kept_records.early_offers = kept_records.early_offers, []
   for offer in early:
-    offered(owner, offer)
-  for job_id in list(keeper.questions):
+    handle_offer(owner, offer)
+  for job_id in list(kept_records.pending_queries):
     _answer_questions(owner, job_id)
-  orders.place(owner)
+  runcontrol.start_waiting_tasks(owner)
 
 
 def _settle_early_ends(owner):
   """Ends listed before the records were read: kept jobs' own are written."""
-  keeper = owner.keeper
-  for job_id, ends in keeper.early_ends.items():
+  kept_records = owner.kept_records
+  for job_id, ends in kept_records.early_results.items():
     job = owner.by_id.get(job_id)
-    if job_id in keeper.over or (job is not None and job.job.kept):
-      keeper.unsaved.setdefault(job_id, set()).update(ends)
+    if job_id in kept_records.unsaved_states or (
+        job is not None and job.job.kept
+    ):
+      kept_records.unsaved_results.setdefault(job_id, set()).update(ends)
     else:
       _forget_ends(owner, ends)
-  keeper.early_ends.clear()
+  kept_records.early_results.clear()
 
 
 def _begin(
     owner, job: model.Job, progress: model.Progress, resumed: bool, age_s=0.0
 ):
   """Has a stored job's tasks run."""
-  key = keeping.job_key(job.id)
+  key = keptrecords.job_key(job.id)
   offer = linkmessages.Offered(owner.shard, key, job, age_s, math.inf, resumed)
-  record = offers.new_record(owner, offer)
-  first_attempt = owner.keeper.takeovers * ownerstate.ATTEMPTS_PER_HOLDER
+  record = offers.add_job(owner, offer)
+  first_attempt = owner.kept_records.takeovers * ownerstate.ATTEMPTS_PER_HOLDER
   for task in record.tasks.values():
     task.attempt = first_attempt
   for run in progress.failed:
@@ -105,59 +113,63 @@
   for task, endpoint in progress.crashed:
     record.tasks[task].crashed.add(endpoint)
   for task, endpoint, address in progress.lost:
-    record.tasks[task].lost_with[endpoint] = address
-  crashes.resume(owner, record)
+    record.tasks[task].lost_endpoints[endpoint] = address
+  crashes.resume_losses(owner, record)
   for task in progress.done:
     record.task_done(record.tasks[task])
-  offers.find_runs(owner, record)
+  offers.adopt_existing_runs(owner, record)
 
 
-def written(owner: ownerstate.Owner, event: keptevents.KeptWritten):
+def handle_write_result(
+    owner: ownerstate.Owner, event: keptevents.KeptJobsWritten
+):
   """Takes the store's answer to a write."""
-  keeper = owner.keeper
-  write = keeper.in_flight
+  kept_records = owner.kept_records
+  write = kept_records.in_flight
   if write is None or (write.fence, write.number) != (
       event.fence,
       event.number,
   ):
     return
   if event.result is keptevents.WriteResult.REPLACED:
-    owner.out(events.log("kept_write_replaced", fence=event.fence))
+    owner.emit(events.log("kept_write_replaced", fence=event.fence))
     owner.fenced = True
     return
-  changes = keeper.write_answered(event)
+  changes = kept_records.complete_write(event)
   if event.result is keptevents.WriteResult.EXISTS:
     for job_id in event.existing:
-      for offer in keeper.arriving.pop(job_id, ()):
+      for offer in kept_records.unsaved_offers.pop(job_id, ()):
         _tell_accepted(owner, offer)
     return
   for change in changes:
     _ON_WRITTEN[type(change)](owner, change)
-  orders.place(owner)
+  runcontrol.start_waiting_tasks(owner)
 
 
-def _job_written(owner, change: keptevents.KeepJob):
-  waiting = owner.keeper.arriving.pop(change.job.id, [])
+def _job_written(owner, change: keptevents.StoreJob):
+  waiting = owner.kept_records.unsaved_offers.pop(change.job.id, [])
   first = waiting[0]
   for offer in waiting:
     _tell_accepted(owner, offer)
   owner.counters["accepted"] += 1
   _begin(owner, change.job, model.Progress(), first.resumed, first.age_s)
-  if change.job.id in owner.keeper.questions:
+  if change.job.id in owner.kept_records.pending_queries:
     _answer_questions(owner, change.job.id)
 
 
-def _progress_written(owner, change: keptevents.KeepProgress):
-  _forget_ends(owner, owner.keeper.take_saved(change.job_id))
+def _progress_written(owner, change: keptevents.StoreProgress):
+  _forget_ends(owner, owner.kept_records.pop_saved_results(change.job_id))
 
 
-def _end_written(owner, change: keptevents.KeepEnd):
-  keeper = owner.keeper
-  _forget_ends(owner, keeper.take_all(change.job_id))
-  state = keeper.over.pop(change.job_id)
-  until = owner.now + owner.ended_kept_s
-  keeper.ended[change.job_id] = keeping.Ended(state, until)
-  owner.out(
+def _end_written(owner, change: keptevents.StoreEnd):
+  kept_records = owner.kept_records
+  _forget_ends(owner, kept_records.pop_all_results(change.job_id))
+  state = kept_records.unsaved_states.pop(change.job_id)
+  until = owner.now + owner.ended_job_retention_s
+  kept_records.finished_jobs[change.job_id] = keptrecords.FinishedJob(
+      state, until
+  )
+  owner.emit(
       events.log(
           "kept_job_over",
           job=change.job_id,
@@ -170,21 +182,24 @@
 
 def move(owner: ownerstate.Owner, job: ownerstate.JobRecord, to: model.Shard):
   """Has a job of which nothing runs go over to another shard's records."""
-  keeper = owner.keeper
-  if not keeper.may_move(job.job.id) or job.job.id in keeper.over:
+  kept_records = owner.kept_records
+  if (
+      not kept_records.may_move(job.job.id)
+      or job.job.id in kept_records.unsaved_states
+  ):
     return
   kept = model.KeptJob(job.job, _progress(owner, job.job.id))
-  keeper.moving[job.job.id] = keptevents.MoveJob(kept, to)
+  kept_records.moving[job.job.id] = keptevents.MoveJob(kept, to)
 
 
 def _job_moved(owner, change: keptevents.MoveJob):
   job_id = change.kept.job.id
-  owner.keeper.moving.pop(job_id)
-  owner.keeper.moved.add(job_id)
-  _forget_ends(owner, owner.keeper.take_all(job_id))
+  owner.kept_records.moving.pop(job_id)
+  owner.kept_records.moved.add(job_id)
+  _forget_ends(owner, owner.kept_records.pop_all_results(job_id))
   job = owner.by_id.pop(job_id)
   owner.jobs.pop(job.key)
-  owner.out(
+  owner.emit(
       events.log(
           "kept_job_moved",
           job=job_id,
@@ -197,15 +212,15 @@
   _tell_askers(owner, job_id, None)
 
 
-def _job_forgotten(owner, change: keptevents.ForgetJob):
-  owner.keeper.ended.pop(change.job_id, None)
+def _job_forgotten(owner, change: keptevents.DeleteJob):
+  owner.kept_records.finished_jobs.pop(change.job_id, None)
 
 
 _ON_WRITTEN = {
-    keptevents.KeepJob: _job_written,
-    keptevents.KeepProgress: _progress_written,
-    keptevents.KeepEnd: _end_written,
-    keptevents.ForgetJob: _job_forgotten,
+    keptevents.StoreJob: _job_written,
+    keptevents.StoreProgress: _progress_written,
+    keptevents.StoreEnd: _end_written,
+    keptevents.DeleteJob: _job_forgotten,
     keptevents.MoveJob: _job_moved,
 }
 
@@ -214,109 +229,120 @@
   """Endpoints may forget these ends: they are in the store, or not needed."""
   for endpoint, number in ends:
     record = owner.endpoints.get(endpoint)
-    if record is not None and number != keeping.LOSS:
-      record.end_saved(number)
-      if not record.unsaved:
-        leases.call_lease(owner, record)
+    if record is not None and number != keptrecords.ENDPOINT_LOST:
+      record.record_saved_end(number)
+      if not record.unsaved_ends:
+        leases.renew_lease(owner, record)
 
 
-def asked(owner: ownerstate.Owner, event: keptevents.Asked):
+def handle_state_query(owner: ownerstate.Owner, event: keptevents.KeptJobQuery):
   """Answers a question, once what it says is in the store."""
-  owner.keeper.questions.setdefault(event.job_id, []).append(event)
-  if owner.keeper.loaded:
+  owner.kept_records.pending_queries.setdefault(event.job_id, []).append(event)
+  if owner.kept_records.loaded:
     _answer_questions(owner, event.job_id)
 
 
 def _answer_questions(owner, job_id: str):
-  keeper = owner.keeper
-  if job_id in keeper.moving:
+  kept_records = owner.kept_records
+  if job_id in kept_records.moving:
     return  # Answered when it has moved.
   job = owner.by_id.get(job_id)
-  cancel = any(question.cancel for question in keeper.questions[job_id])
+  cancel = any(
+      question.cancel for question in kept_records.pending_queries[job_id]
+  )
   if cancel and job is not None and job.job.kept:
     outcomes.end_job(owner, job, model.Outcome.CANCELLED, "cancelled")
-    orders.place(owner)
-  if job_id in keeper.over or (cancel and job_id in keeper.arriving):
+    runcontrol.start_waiting_tasks(owner)
+  if job_id in kept_records.unsaved_states or (
+      cancel and job_id in kept_records.unsaved_offers
+  ):
     return  # Answered when it is written.
   _tell_askers(owner, job_id, _state_of(owner, job_id))
 
 
-def _state_of(owner, job_id: str) -> model.KeptState | None:
-  ended = owner.keeper.ended.get(job_id)
+def _state_of(owner, job_id: str) -> model.KeptJobState | None:
+  ended = owner.kept_records.finished_jobs.get(job_id)
   if ended is not None:
     return ended.state
-  return model.KeptState.OPEN if job_id in owner.by_id else None
+  return model.KeptJobState.OPEN if job_id in owner.by_id else None
 
 
-def _tell_askers(owner, job_id: str, state: model.KeptState | None):
-  for question in dict.fromkeys(owner.keeper.questions.pop(job_id, ())):
-    told = keptevents.Told(job_id, question.cancel, state)
-    owner.tell(question.party, told)
+def _tell_askers(owner, job_id: str, state: model.KeptJobState | None):
+  for question in dict.fromkeys(
+      owner.kept_records.pending_queries.pop(job_id, ())
+  ):
+    told = keptevents.KeptJobReply(job_id, question.cancel, state)
+    owner.send_to_coordinator(question.process, told)
 
 
-def ended_listed(owner: ownerstate.Owner, event: keptevents.EndedListed):
+def handle_ended_list(
+    owner: ownerstate.Owner, event: keptevents.EndedJobsListed
+):
   """Has jobs over that earlier holders left forgotten in their time."""
   for job_id in event.job_ids:
-    keeper = owner.keeper
-    if job_id not in owner.by_id and not keeper.knows(job_id):
-      until = owner.now + owner.ended_kept_s
-      keeper.ended[job_id] = keeping.Ended(None, until)
+    kept_records = owner.kept_records
+    if job_id not in owner.by_id and not kept_records.is_finished(job_id):
+      until = owner.now + owner.ended_job_retention_s
+      kept_records.finished_jobs[job_id] = keptrecords.FinishedJob(None, until)
 
 
-def list_open(owner: ownerstate.Owner):
+def request_open_list(owner: ownerstate.Owner):
   """Looks for jobs that another shard's holder has moved here."""
-  keeper = owner.keeper
-  due = owner.now - keeper.listed_open_at >= keeping.LIST_OPEN_S
-  if keeper.lists_open or not keeper.loaded or not due:
+  kept_records = owner.kept_records
+  due = (
+      owner.now - kept_records.open_list_requested_at
+      >= keptrecords.LIST_OPEN_PERIOD_S
+  )
+  if kept_records.open_list_pending or not kept_records.loaded or not due:
     return
-  keeper.lists_open = True
-  keeper.listed_open_at = owner.now
-  keeper.moved.clear()
-  owner.out(keptevents.ListOpen(owner.shard, owner.fence))
+  kept_records.open_list_pending = True
+  kept_records.open_list_requested_at = owner.now
+  kept_records.moved.clear()
+  owner.emit(keptevents.ListOpenJobs(owner.shard, owner.fence))
 
 
-def open_listed(owner: ownerstate.Owner, event: keptevents.OpenListed):
+def handle_open_list(owner: ownerstate.Owner, event: keptevents.OpenJobsListed):
   """Takes jobs up that were moved here."""
-  keeper = owner.keeper
-  keeper.lists_open = False
+  kept_records = owner.kept_records
+  kept_records.open_list_pending = False
   if event.fence != owner.fence:
     return
   for kept in event.jobs:
     job_id = kept.job.id
-    mine = job_id in owner.by_id or job_id in keeper.arriving
-    if mine or keeper.knows(job_id) or job_id in keeper.moved:
+    mine = job_id in owner.by_id or job_id in kept_records.unsaved_offers
+    if mine or kept_records.is_finished(job_id) or job_id in kept_records.moved:
       continue
-    owner.out(events.log("kept_job_taken_up", job=job_id, fence=owner.fence))
+    owner.emit(events.log("kept_job_taken_up", job=job_id, fence=owner.fence))
     _begin(owner, kept.job, kept.progress, resumed=False)
-  orders.place(owner)
+  runcontrol.start_waiting_tasks(owner)
 
 
 def tick(owner: ownerstate.Owner):
   """Looks after what waits for a time."""
-  keeper = owner.keeper
-  if keeper.early_offers and not keeper.loaded:
+  kept_records = owner.kept_records
+  if kept_records.early_offers and not kept_records.loaded:
     _decline_overdue(owner)
-  aged = owner.now - owner.taken_at > keeping.LIST_ENDED_S
-  if keeper.loaded and aged and not keeper.listed_ended:
-    keeper.listed_ended = True
-    owner.out(keptevents.ListEnded(owner.shard, owner.fence))
+  aged = owner.now - owner.taken_at > keptrecords.LIST_ENDED_DELAY_S
+  if kept_records.loaded and aged and not kept_records.ended_list_requested:
+    kept_records.ended_list_requested = True
+    owner.emit(keptevents.ListEndedJobs(owner.shard, owner.fence))
 
 
 def _decline_overdue(owner):
   if owner.now - owner.taken_at < LOAD_PATIENCE_S:
     return
-  early, owner.keeper.early_offers = owner.keeper.early_offers, []
+  early, owner.kept_records.early_offers = owner.kept_records.early_offers, []
   for offer in early:
     _decline_store_away(owner, offer)
 
 
 def flush(owner: ownerstate.Owner):
   """Writes what has changed, if a write may go out now."""
-  write = owner.keeper.next_write(
+  write = owner.kept_records.next_write(
       owner.shard, owner.fence, owner.now, lambda j: _progress(owner, j)
   )
   if write is not None:
-    owner.out(write)
+    owner.emit(write)
 
 
 def _progress(owner, job_id: str) -> model.Progress:
@@ -339,7 +365,7 @@
       tuple(
           (t.task, name, address)
           for t in tasks
-          for name, address in sorted(t.lost_with.items())
+          for name, address in sorted(t.lost_endpoints.items())
       ),
   )
 
@@ -356,10 +382,12 @@
 def replace_fence(owner: ownerstate.Owner, fence: int):
   """The owner's claim was made anew, with nobody else's in between."""
   owner.fence = fence
-  owner.keeper.loaded = False
-  owner.out(keptevents.LoadKept(owner.shard, fence))
+  owner.kept_records.loaded = False
+  owner.emit(keptevents.LoadKeptJobs(owner.shard, fence))
 
 
-def holds_kept(owner: ownerstate.Owner) -> bool:
+def has_kept_jobs(owner: ownerstate.Owner) -> bool:
   """Returns whether the owner has kept jobs, or some on their way."""
-  return owner.keeper.busy or any(job.job.kept for job in owner.jobs.values())
+  return owner.kept_records.has_unsaved_changes or any(
+      job.job.kept for job in owner.jobs.values()
+  )
--- a/fescueturn/scheduler/keeping.py
+++ b/fescueturn/scheduler/keptrecords.py
@@ -12,7 +12,7 @@
 from fescueturn.scheduler import model
 
 # Whose jobs the kept ones are: no host's, so that no host's silence ends them.
-KEPT = linkmessages.Party("", "")
+KEPT = linkmessages.HostProcess("", "")
 # Writes to the store follow each other no sooner. An answer takes 4 to 6 ms;
 # three holders at 83 writes a second use 250 of the 400 that the store takes.
 WRITE_PERIOD_S = 0.012
@@ -30,16 +30,16 @@
 STALLED_S = 1.2
 # When the jobs over that earlier holders have left are looked for: not while
 # a takeover is under way.
-LIST_ENDED_S = 30.0
+LIST_ENDED_DELAY_S = 30.0
 
 # While data centres are evacuated, jobs that were moved here are looked for this
 # often: they wait no longer, against a bound of 3 s for a task that could run.
-LIST_OPEN_S = 1.0
+LIST_OPEN_PERIOD_S = 1.0
 
 # An end that an endpoint lists: its endpoint and its number there, from 1.
 EndName = tuple[str, int]
 # In the place of such a number: the endpoint was lost under a task.
-LOSS = 0
+ENDPOINT_LOST = 0
 
 
 def job_key(job_id: str) -> linkmessages.JobKey:
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class FinishedJob:
   """A job that is over: how it ended, if that is known, and when to forget it.
 
   Attributes:
@@ -56,7 +56,7 @@
     until: when to forget it (s).
   """
 
-  state: model.KeptState | None
+  state: model.KeptJobState | None
   until: float
 
 
@@ -71,7 +71,7 @@
   return len(changes)
 
 
-class Keeper:
+class KeptRecords:
   """An owner's side of the store.
 
   Attributes:
@@ -81,50 +81,50 @@
     over: jobs that are over, but not yet so in the store.
     ended: jobs that are over, by id; those longest over first.
     unsaved: ends of tasks that are not in the store yet, by job.
-    early_ends: ends listed before the records were read, by job.
+    early_results: ends listed before the records were read, by job.
     early_offers: offers made before that.
     questions: what was asked of a job and waits for word, by id.
     in_flight: the write under way.
-    listed_ended: True once jobs over that earlier holders left are looked for.
+    ended_list_requested: True once jobs over that earlier holders left are looked for.
     moving: jobs on their way to other shards, as they will be written there.
     moved: jobs moved away since jobs moved here were last looked for.
-    lists_open: True while those are looked for.
-    listed_open_at: when that was last begun (s).
+    open_list_pending: True while those are looked for.
+    open_list_requested_at: when that was last begun (s).
   """
 
   def __init__(self):
     self.loaded = False
     self.takeovers = 0
-    self.arriving: dict[str, list[linkmessages.Offered]] = {}
-    self.over: dict[str, model.KeptState] = {}
-    self.ended: dict[str, Ended] = {}
-    self.unsaved: dict[str, set[EndName]] = {}
-    self.early_ends: dict[str, set[EndName]] = {}
+    self.unsaved_offers: dict[str, list[linkmessages.Offered]] = {}
+    self.unsaved_states: dict[str, model.KeptJobState] = {}
+    self.finished_jobs: dict[str, FinishedJob] = {}
+    self.unsaved_results: dict[str, set[EndName]] = {}
+    self.early_results: dict[str, set[EndName]] = {}
     self.early_offers: list[linkmessages.Offered] = []
-    self.questions: dict[str, list[keptevents.Asked]] = {}
-    self.in_flight: keptevents.WriteKept | None = None
-    self.listed_ended = False
+    self.pending_queries: dict[str, list[keptevents.KeptJobQuery]] = {}
+    self.in_flight: keptevents.WriteKeptJobs | None = None
+    self.ended_list_requested = False
     self.moving: dict[str, keptevents.MoveJob] = {}
     self.moved: set[str] = set()
-    self.lists_open = False
-    self.listed_open_at = 0.0
+    self.open_list_pending = False
+    self.open_list_requested_at = 0.0
     self._ends_in_flight: dict[str, frozenset[EndName]] = {}
     self._number = 0
     self._revision = 0
     self._sent_at = 0.0
 
   @property
-  def busy(self) -> bool:
+  def has_unsaved_changes(self) -> bool:
     """True while something is to be written, or its outcome not known."""
     return bool(
         self.in_flight
-        or self.arriving
-        or self.over
-        or self.unsaved
+        or self.unsaved_offers
+        or self.unsaved_states
+        or self.unsaved_results
         or self.moving
     )
 
-  def begin(self, loaded: keptevents.KeptLoaded):
+  def mark_loaded(self, loaded: keptevents.KeptJobsLoaded):
     """Takes it that the records are read."""
     self.loaded = True
     self.takeovers = loaded.takeovers
@@ -134,13 +134,13 @@
     """Returns whether the store leaves a write unanswered."""
     return self.in_flight is not None and now - self._sent_at > STALLED_S
 
-  def takes_new(self, now: float) -> bool:
+  def accepts_new(self, now: float) -> bool:
     """Returns whether another new job would be written soon."""
-    return len(self.arriving) < MAX_ARRIVING and not self.stalled(now)
+    return len(self.unsaved_offers) < MAX_ARRIVING and not self.stalled(now)
 
-  def knows(self, job_id: str) -> bool:
+  def is_finished(self, job_id: str) -> bool:
     """Returns whether the job is over, as far as is known here."""
-    return job_id in self.over or job_id in self.ended
+    return job_id in self.unsaved_states or job_id in self.finished_jobs
 
   def next_write(
       self,
@@ -148,7 +148,7 @@
       fence: int,
       now: float,
       progress_of: Callable[[str], model.Progress],
-  ) -> keptevents.WriteKept | None:
+  ) -> keptevents.WriteKeptJobs | None:
     """Returns the write to make now, if any.
 
     Args:
@@ -159,7 +159,7 @@
     """
     if not self.loaded or self.in_flight is not None:
       return None
-    if not (self.busy or self.ended):
+    if not (self.has_unsaved_changes or self.finished_jobs):
       return None
     if now - self._sent_at < WRITE_PERIOD_S:
       return None
@@ -168,7 +168,7 @@
       return None
     self._number += 1
     self._sent_at = now
-    self.in_flight = keptevents.WriteKept(
+    self.in_flight = keptevents.WriteKeptJobs(
         shard, fence, self._number, self._revision, changes
     )
     return self.in_flight
@@ -176,37 +176,39 @@
   def _next_changes(self, now: float, progress_of):
     """Returns what to write: what is over first, since endpoints keep it."""
     changes: list[keptevents.Change] = [
-        keptevents.KeepEnd(job_id, state) for job_id, state in self.over.items()
+        keptevents.StoreEnd(job_id, state)
+        for job_id, state in self.unsaved_states.items()
     ]
     changes += [
-        keptevents.KeepProgress(job_id, progress_of(job_id))
-        for job_id in self.unsaved
-        if job_id not in self.over and job_id not in self.moving
+        keptevents.StoreProgress(job_id, progress_of(job_id))
+        for job_id in self.unsaved_results
+        if job_id not in self.unsaved_states and job_id not in self.moving
     ]
     changes += self.moving.values()
     changes += [
-        keptevents.KeepJob(offers[0].job) for offers in self.arriving.values()
+        keptevents.StoreJob(offers[0].job)
+        for offers in self.unsaved_offers.values()
     ]
     changes += [
-        keptevents.ForgetJob(job_id)
-        for job_id, ended in self.ended.items()
+        keptevents.DeleteJob(job_id)
+        for job_id, ended in self.finished_jobs.items()
         if ended.until <= now
     ]
     del changes[_count_fitting(changes) :]
     self._ends_in_flight = {
-        change.job_id: frozenset(self.unsaved.get(change.job_id, ()))
+        change.job_id: frozenset(self.unsaved_results.get(change.job_id, ()))
         for change in changes
-        if isinstance(change, (keptevents.KeepEnd, keptevents.KeepProgress))
+        if isinstance(change, (keptevents.StoreEnd, keptevents.StoreProgress))
     }
     return tuple(changes)
 
   def may_move(self, job_id: str) -> bool:
     """Returns whether all that is over of a job is in the store."""
-    ends = job_id in self.unsaved or job_id in self._ends_in_flight
+    ends = job_id in self.unsaved_results or job_id in self._ends_in_flight
     return self.loaded and not ends and job_id not in self.moving
 
-  def write_answered(
-      self, written: keptevents.KeptWritten
+  def complete_write(
+      self, written: keptevents.KeptJobsWritten
   ) -> tuple[keptevents.Change, ...]:
     """Notes the answer to the write under way; returns its changes."""
     changes = self.in_flight.changes
@@ -214,36 +216,36 @@
     self._revision = written.revision
     return changes
 
-  def saves_loss(self, job_id: str) -> bool:
+  def has_unsaved_loss(self, job_id: str) -> bool:
     """Returns whether endpoints that a job lost are not in the store yet."""
-    ends = self.unsaved.get(job_id, ())
-    return any(number == LOSS for _, number in ends)
+    ends = self.unsaved_results.get(job_id, ())
+    return any(number == ENDPOINT_LOST for _, number in ends)
 
-  def take_saved(self, job_id: str) -> frozenset[EndName]:
+  def pop_saved_results(self, job_id: str) -> frozenset[EndName]:
     """Returns the ends of a job that the write has put into the store."""
     saved = self._ends_in_flight.pop(job_id, frozenset())
-    left = self.unsaved.get(job_id, set()) - saved
+    left = self.unsaved_results.get(job_id, set()) - saved
     if left:
-      self.unsaved[job_id] = left
+      self.unsaved_results[job_id] = left
     else:
-      self.unsaved.pop(job_id, None)
+      self.unsaved_results.pop(job_id, None)
     return saved
 
-  def take_all(self, job_id: str) -> set[EndName]:
+  def pop_all_results(self, job_id: str) -> set[EndName]:
     """Returns all ends of a job that is over: none is needed any more."""
     self._ends_in_flight.pop(job_id, None)
-    return self.unsaved.pop(job_id, set())
+    return self.unsaved_results.pop(job_id, set())
 
   def snapshot(self) -> dict:
     """Returns a JSON-ready dump."""
     return {
         "loaded": self.loaded,
         "takeovers": self.takeovers,
-        "arriving": len(self.arriving),
-        "unsaved": len(self.unsaved),
-        "over": len(self.over),
+        "arriving": len(self.unsaved_offers),
+        "unsaved": len(self.unsaved_results),
+        "over": len(self.unsaved_states),
         "moving": len(self.moving),
-        "ended": len(self.ended),
+        "ended": len(self.finished_jobs),
         "writes": self._number,
         "write_waits": self.in_flight is not None,
     }
--- a/fescueturn/scheduler/link.py
+++ b/fescueturn/scheduler/link.py
@@ -74,7 +74,9 @@
     await self._sock.close()
 
 
-OnMessage = Callable[[linkmessages.Party, model.Shard, object], Awaitable[None]]
+OnMessage = Callable[
+    [linkmessages.HostProcess, model.Shard, object], Awaitable[None]
+]
 
 
 class LinkServer:
@@ -83,45 +85,47 @@
   def __init__(self, address: settings.Address, on_message: OnMessage):
     self._on_message = on_message
     self._listener = listener.Listener(address, self._serve)
-    self._outboxes: dict[linkmessages.Party, _Outbox] = {}
+    self._outboxes: dict[linkmessages.HostProcess, _Outbox] = {}
 
   async def start(self):
     """Listens for coordinators."""
     await self._listener.start()
 
-  async def send(self, party: linkmessages.Party, shard: model.Shard, message):
+  async def send(
+      self, process: linkmessages.HostProcess, shard: model.Shard, message
+  ):
     """Sends a message to a coordinator; one that is not connected misses it."""
-    outbox = self._outboxes.get(party)
+    outbox = self._outboxes.get(process)
     if outbox is None:
-      logger.debug("event=link_send_missed host={}", party.host)
+      logger.debug("event=link_send_missed host={}", process.host)
       return
     if not await outbox.put(linkcodec.encode(shard, message)):
-      logger.warning("event=link_overfull host={}", party.host)
-      del self._outboxes[party]
+      logger.warning("event=link_overfull host={}", process.host)
+      del self._outboxes[process]
       await outbox.close()
 
   async def _serve(self, sock):
-    listener.impatient(sock)
+    listener.enable_dead_peer_detection(sock)
     outbox = _Outbox(sock)
-    party = None
+    process = None
     try:
       stream = sock.as_stream()
       _, hello = linkcodec.decode(await framing.read_message(stream), None)
       if not isinstance(hello, linkcodec.Hello):
         raise ConnectionError("no hello")
-      party = hello.party
+      process = hello.process
       await outbox.start()
-      self._outboxes[party] = outbox
+      self._outboxes[process] = outbox
       while True:
         data = await framing.read_message(stream)
-        shard, message = linkcodec.decode(data, party)
-        await self._on_message(party, shard, message)
-    except (OSError, linkcodec.MalformedError) as exc:
-      host = party.host if party else "unknown"
+        shard, message = linkcodec.decode(data, process)
+        await self._on_message(process, shard, message)
+    except (OSError, linkcodec.MalformedMessageError) as exc:
+      host = process.host if process else "unknown"
       logger.info('event=link_closed peer={} error="{}"', host, exc)
     finally:
-      if party is not None and self._outboxes.get(party) is outbox:
-        del self._outboxes[party]
+      if process is not None and self._outboxes.get(process) is outbox:
+        del self._outboxes[process]
       await outbox.close()
 
   async def close(self):
@@ -141,7 +145,7 @@
   def __init__(
       self,
       address: settings.Address,
-      me: linkmessages.Party,
+      me: linkmessages.HostProcess,
       now: Callable[[], float],
       on_message: Callable[[model.Shard, object], Awaitable[None]],
       on_lost: OnLost,
@@ -184,7 +188,7 @@
       logger.debug("event=link_failed peer={} error={!r}", self._address, exc)
       await self._on_lost(isinstance(exc, ConnectionRefusedError))
       return
-    listener.impatient(sock)
+    listener.enable_dead_peer_detection(sock)
     outbox = _Outbox(sock)
     await outbox.start()
     await outbox.put(linkcodec.encode(_HELLO_SHARD, linkcodec.Hello(self._me)))
@@ -204,7 +208,7 @@
         self._heard_at = self._now()
         shard, message = linkcodec.decode(data, self._me)
         await self._on_message(shard, message)
-    except (OSError, linkcodec.MalformedError) as exc:
+    except (OSError, linkcodec.MalformedMessageError) as exc:
       logger.info('event=link_closed peer={} error="{}"', self._address, exc)
     if self._outbox is outbox:
       self._outbox = None
--- a/fescueturn/scheduler/linkcodec.py
+++ b/fescueturn/scheduler/linkcodec.py
@@ -34,7 +34,7 @@
 _OUTCOMES = {name: outcome for outcome, name in _OUTCOME_NAMES.items()}
 
 
-class MalformedError(errors.FescueError):
+class MalformedMessageError(errors.FescueError):
   """What came from another host is not a message of this version."""
 
   code = codes.Code.BAD_FIELD
@@ -44,7 +44,7 @@
 class Hello:
   """The first message of a connection: who opened it."""
 
-  party: linkmessages.Party
+  process: linkmessages.HostProcess
 
 
 def encode(shard: model.Shard, message) -> bytes:
@@ -56,8 +56,8 @@
 
 def _encode_hello(out, message: Hello):
   group = out.init("hello")
-  group.host = message.party.host
-  group.boot = message.party.boot
+  group.host = message.process.host
+  group.boot = message.process.boot
 
 
 def _encode_ping(out, message: linkmessages.Ping):
@@ -65,10 +65,10 @@
   out.roster = _NO_ROSTER if message.roster is None else message.roster
   group = out.init("ping")
   group.canHold = message.can_hold
-  _encode_doubts(group.init("doubts", len(message.doubts)), message.doubts)
+  _encode_doubts(group.init("doubts", len(message.suspects)), message.suspects)
 
 
-def _encode_doubts(rows, doubts: tuple[linkmessages.Doubt, ...]):
+def _encode_doubts(rows, doubts: tuple[linkmessages.SuspectedHolder, ...]):
   for row, doubt in zip(rows, doubts, strict=True):
     row.dataCentre = doubt.shard.data_centre
     row.shard = doubt.shard.number
@@ -80,9 +80,9 @@
   out.number = message.number
   group = out.init("offered")
   group.ageS = message.age_s
-  group.leftS = max(0.0, message.left_s)
+  group.leftS = max(0.0, message.remaining_s)
   group.resumed = message.resumed
-  group.atOnce = message.at_once
+  group.atOnce = message.immediate_only
   job = message.job
   group.job.service = job.service
   group.job.spec = job.spec
@@ -121,19 +121,22 @@
   if message.endpoints is not None:
     group.hasEndpoints = True
     group.endpoints = list(message.endpoints)
-  _encode_doubts(group.init("agreed", len(message.agreed)), message.agreed)
+  _encode_doubts(
+      group.init("agreed", len(message.confirmed_suspects)),
+      message.confirmed_suspects,
+  )
   rows = group.init("pending", len(message.pending))
   for row, (queue, jobs) in zip(rows, message.pending, strict=True):
     row.queue = queue
     row.jobs = jobs
 
 
-def _encode_asked(out, message: keptevents.Asked):
+def _encode_asked(out, message: keptevents.KeptJobQuery):
   out.jobId = message.job_id
   out.init("asked").cancel = message.cancel
 
 
-def _encode_told(out, message: keptevents.Told):
+def _encode_told(out, message: keptevents.KeptJobReply):
   out.jobId = message.job_id
   group = out.init("told")
   group.cancel = message.cancel
@@ -165,7 +168,7 @@
 def _encode_returned(out, message: linkmessages.Returned):
   out.jobId = message.key.job_id
   out.number = message.number
-  out.init("returned").ran = message.ran
+  out.init("returned").ran = message.may_have_run
 
 
 _ENCODERS = {
@@ -178,12 +181,12 @@
     linkmessages.Declined: _encode_declined,
     linkmessages.JobEnded: _encode_ended,
     linkmessages.Returned: _encode_returned,
-    keptevents.Asked: _encode_asked,
-    keptevents.Told: _encode_told,
+    keptevents.KeptJobQuery: _encode_asked,
+    keptevents.KeptJobReply: _encode_told,
 }
 
 
-def decode(data: bytes, coordinator: linkmessages.Party | None):
+def decode(data: bytes, coordinator: linkmessages.HostProcess | None):
   """Returns the shard and the message that `data` holds.
 
   Args:
@@ -192,7 +195,7 @@
       the hello.
 
   Raises:
-    MalformedError: `data` is not such a message.
+    MalformedMessageError: `data` is not such a message.
   """
   try:
     with _Message.from_bytes(data) as message:
@@ -200,12 +203,12 @@
       kind = message.which()
       return shard, _DECODERS[str(kind)](message, shard, coordinator)
   except (capnp.KjException, ValueError, KeyError) as exc:
-    raise MalformedError(f"message between hosts: {exc!r}") from exc
+    raise MalformedMessageError(f"message between hosts: {exc!r}") from exc
 
 
 def _decode_hello(message, shard, coordinator) -> Hello:
   del shard, coordinator
-  return Hello(linkmessages.Party(message.hello.host, message.hello.boot))
+  return Hello(linkmessages.HostProcess(message.hello.host, message.hello.boot))
 
 
 def _decode_offered(message, shard, coordinator) -> linkmessages.Offered:
@@ -238,7 +241,7 @@
 def _decode_step(step) -> model.Step:
   return model.Step(
       step.count,
-      model.Room(step.cpu, step.memMb, step.gpu),
+      model.Resources(step.cpu, step.memMb, step.gpu),
       step.estimateMs,
       tuple(step.after),
       step.requires,
@@ -259,9 +262,11 @@
   )
 
 
-def _decode_doubts(rows) -> tuple[linkmessages.Doubt, ...]:
+def _decode_doubts(rows) -> tuple[linkmessages.SuspectedHolder, ...]:
   return tuple(
-      linkmessages.Doubt(model.Shard(row.dataCentre, row.shard), row.fence)
+      linkmessages.SuspectedHolder(
+          model.Shard(row.dataCentre, row.shard), row.fence
+      )
       for row in rows
   )
 
@@ -288,37 +293,37 @@
   )
 
 
-def _decode_told(message, shard, coordinator) -> keptevents.Told:
+def _decode_told(message, shard, coordinator) -> keptevents.KeptJobReply:
   del shard, coordinator
   name = str(message.told.state)
-  state = None if name == _NO_STATE else model.KeptState(name)
-  return keptevents.Told(message.jobId, message.told.cancel, state)
+  state = None if name == _NO_STATE else model.KeptJobState(name)
+  return keptevents.KeptJobReply(message.jobId, message.told.cancel, state)
 
 
 _DECODERS = {
     "hello": _decode_hello,
     "ping": _decode_ping,
     "offered": _decode_offered,
-    "withdrawn": lambda m, shard, party: linkmessages.Withdrawn(
-        shard, linkmessages.JobKey(party, m.jobId)
+    "withdrawn": lambda m, shard, process: linkmessages.Withdrawn(
+        shard, linkmessages.JobKey(process, m.jobId)
     ),
     "pong": _decode_pong,
-    "accepted": lambda m, shard, party: linkmessages.Accepted(
-        linkmessages.JobKey(party, m.jobId), m.number
+    "accepted": lambda m, shard, process: linkmessages.Accepted(
+        linkmessages.JobKey(process, m.jobId), m.number
     ),
-    "declined": lambda m, shard, party: linkmessages.Declined(
-        linkmessages.JobKey(party, m.jobId),
+    "declined": lambda m, shard, process: linkmessages.Declined(
+        linkmessages.JobKey(process, m.jobId),
         m.number,
         m.declined.waitMs,
         m.declined.inTime,
         m.declined.why,
     ),
     "ended": _decode_ended,
-    "returned": lambda m, shard, party: linkmessages.Returned(
-        linkmessages.JobKey(party, m.jobId), m.number, m.returned.ran
+    "returned": lambda m, shard, process: linkmessages.Returned(
+        linkmessages.JobKey(process, m.jobId), m.number, m.returned.ran
     ),
-    "asked": lambda m, shard, party: keptevents.Asked(
-        shard, party, m.jobId, m.asked.cancel
+    "asked": lambda m, shard, process: keptevents.KeptJobQuery(
+        shard, process, m.jobId, m.asked.cancel
     ),
     "told": _decode_told,
 }
--- a/fescueturn/scheduler/linkmessages.py
+++ b/fescueturn/scheduler/linkmessages.py
@@ -1,7 +1,7 @@
 """Messages between coordinators and holders, and what names their parts.
 
 `linkcodec` gives their form on a link. A holder takes those of a coordinator as
-events; a coordinator hears those of a holder in an `events.Heard`.
+events; a coordinator hears those of a holder in an `events.HolderMessageReceived`.
 """
 
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Party:
+class HostProcess:
   """A host process at the other end of a link (or this one itself)."""
 
   host: str
@@ -24,7 +24,7 @@
   Two hosts may be given the same id when a caller sends a job again.
   """
 
-  party: Party
+  process: HostProcess
   job_id: str
 
 
@@ -41,17 +41,17 @@
     resumed: True when another holder had the job before: runs that still
       go on are the job's own.
     number: tells the offers of one job apart.
-    at_once: True to have it taken only if nothing of it has to wait.
+    immediate_only: True to have it taken only if nothing of it has to wait.
   """
 
   shard: model.Shard
   key: JobKey
   job: model.Job
   age_s: float
-  left_s: float
+  remaining_s: float
   resumed: bool = False
   number: int = 0
-  at_once: bool = False
+  immediate_only: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Doubt:
+class SuspectedHolder:
   """A holder that a host of its data centre doesn't hear any more.
 
   Attributes:
@@ -91,11 +91,11 @@
   """
 
   shard: model.Shard
-  party: Party
+  process: HostProcess
   at: float = 0.0
   roster: int | None = None
   can_hold: bool = False
-  doubts: tuple[Doubt, ...] = ()
+  suspects: tuple[SuspectedHolder, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -148,7 +148,7 @@
 
   key: JobKey
   number: int
-  ran: bool
+  may_have_run: bool
 
 
 @dataclasses.dataclass(frozen=True)
@@ -170,4 +170,4 @@
   at: float = 0.0
   roster: int = 0
   endpoints: tuple[str, ...] | None = None
-  agreed: tuple[Doubt, ...] = ()
+  confirmed_suspects: tuple[SuspectedHolder, ...] = ()
--- a/fescueturn/scheduler/model.py
+++ b/fescueturn/scheduler/model.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Room:
+class Resources:
   """Resources of an endpoint, or what one task needs of them.
 
   Attributes:
@@ -34,7 +34,7 @@
 
   def minus(self, need: "Room") -> "Room":
     """Returns what is left once `need` is taken."""
-    return Room(
+    return Resources(
         self.cpu - need.cpu, self.mem_mb - need.mem_mb, self.gpu - need.gpu
     )
 
@@ -70,7 +70,7 @@
   data_centre: str
   slots: int
   draining: bool
-  capacity: Room
+  capacity: Resources
   labels: tuple[str, ...] = ()
 
 
@@ -89,7 +89,7 @@
   """
 
   count: int
-  need: Room
+  need: Resources
   estimate_ms: int
   after: tuple[int, ...] = ()
   requires: str = ""
@@ -147,7 +147,7 @@
   attempt: int
 
 
-class KeptState(enum.Enum):
+class KeptJobState(enum.Enum):
   """How far a kept job is, as the store has it."""
 
   OPEN = "open"
@@ -197,7 +197,7 @@
   CANCELLED = "cancelled"
 
 
-class EndHow(enum.Enum):
+class RunOutcome(enum.Enum):
   """How a run ended at its endpoint."""
 
   DONE = "done"
@@ -229,7 +229,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Running:
+class ActiveRun:
   """A run that an endpoint lists as running; `percent` of it is done."""
 
   run: RunId
@@ -237,12 +237,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class EndedRun:
   """A run that an endpoint lists as ended; `number` rises by endpoint."""
 
   number: int
   run: RunId
-  how: EndHow
+  how: RunOutcome
 
 
 @dataclasses.dataclass(frozen=True)
--- a/fescueturn/scheduler/offers.py
+++ b/fescueturn/scheduler/offers.py
@@ -2,15 +2,15 @@
 
 import dataclasses
 
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import events
+from fescueturn.scheduler import forecast as forecast_lib
 from fescueturn.scheduler import leases
-from fescueturn.scheduler import ledger
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
-from fescueturn.scheduler import orders
 from fescueturn.scheduler import outcomes
-from fescueturn.scheduler import outlook as outlook_lib
 from fescueturn.scheduler import ownerstate
+from fescueturn.scheduler import runcontrol
 
 # What a holder in an evacuated data centre says of when to come back: such a
 # request stands for minutes, and other data centres are asked meanwhile.
@@ -20,46 +20,50 @@
 AT_ONCE_S = 0.005
 
 
-def offered(owner: ownerstate.Owner, offer: linkmessages.Offered):
+def handle_offer(owner: ownerstate.Owner, offer: linkmessages.Offered):
   """Takes or declines a job."""
-  owner.heard[offer.key.party] = owner.now
+  owner.last_contact[offer.key.process] = owner.now
   known = owner.jobs.get(offer.key)
   if known is not None:
     known.offer_number = offer.number
-    owner.tell(offer.key.party, linkmessages.Accepted(offer.key, offer.number))
+    owner.send_to_coordinator(
+        offer.key.process, linkmessages.Accepted(offer.key, offer.number)
+    )
     return
   earlier = owner.by_id.get(offer.job.id)
   if earlier is not None:
     # The caller came back through another host: its first try is over.
     outcomes.end_job(owner, earlier, model.Outcome.UNKNOWN, "sent_again")
     offer = dataclasses.replace(offer, resumed=True)
-  if not fits(owner, offer):
+  if not admit(owner, offer):
     return
-  record = new_record(owner, offer)
+  record = add_job(owner, offer)
   owner.counters["accepted"] += 1
-  owner.tell(offer.key.party, linkmessages.Accepted(offer.key, offer.number))
-  find_runs(owner, record)
-  orders.place(owner)
+  owner.send_to_coordinator(
+      offer.key.process, linkmessages.Accepted(offer.key, offer.number)
+  )
+  adopt_existing_runs(owner, record)
+  runcontrol.start_waiting_tasks(owner)
 
 
-def fits(owner: ownerstate.Owner, offer: linkmessages.Offered) -> bool:
+def admit(owner: ownerstate.Owner, offer: linkmessages.Offered) -> bool:
   """Returns whether a job would be done in time; declines it if not."""
   if owner.evacuated and not offer.resumed:
     owner.counters["declined"] += 1
-    refuse(owner, offer, "evacuated", EVACUATED_WAIT_MS)
+    decline(owner, offer, "evacuated", EVACUATED_WAIT_MS)
     return False
-  outlook_lib.note_demand(owner, offer)
-  if offer.resumed or (owner.just_taken and not owner.endpoints):
+  forecast_lib.record_demand(owner, offer)
+  if offer.resumed or (owner.awaiting_endpoints and not owner.endpoints):
     return True
-  outlook = outlook_lib.outlook(owner, offer)
-  must_wait = outlook.wait_s > AT_ONCE_S
-  if outlook.late_s or (offer.at_once and must_wait):
-    _decline(owner, offer, outlook)
+  forecast = forecast_lib.forecast(owner, offer)
+  must_wait = forecast.wait_s > AT_ONCE_S
+  if forecast.late_s or (offer.immediate_only and must_wait):
+    _decline(owner, offer, forecast)
     return False
   return True
 
 
-def review(owner: ownerstate.Owner):
+def recheck_admissions(owner: ownerstate.Owner):
   """Hands back jobs taken unseen that the listed endpoints can't do in time."""
   unseen = [
       job for job in owner.jobs.values() if not (job.begun or job.job.kept)
@@ -67,34 +71,38 @@
   for job in unseen:
     del owner.jobs[job.key]
   for job in unseen:
-    outlook = outlook_lib.outlook(owner, job.offer(owner.now))
+    forecast = forecast_lib.forecast(owner, job.offer(owner.now))
     owner.jobs[job.key] = job
-    if outlook.late_s:
+    if forecast.late_s:
       outcomes.hand_back(owner, job)
 
 
-def _decline(owner, offer: linkmessages.Offered, outlook: outlook_lib.Outlook):
-  in_time = not outlook.late_s
-  wait_ms = max(1, int(1000 * (outlook.wait_s if in_time else outlook.late_s)))
+def _decline(
+    owner, offer: linkmessages.Offered, forecast: forecast_lib.Forecast
+):
+  in_time = not forecast.late_s
+  wait_ms = max(
+      1, int(1000 * (forecast.wait_s if in_time else forecast.late_s))
+  )
   owner.counters["put_off" if in_time else "declined"] += 1
-  owner.out(
+  owner.emit(
       events.log(
           "job_put_off" if in_time else "job_declined",
           job=offer.job.id,
-          coordinator=offer.key.party.host,
+          coordinator=offer.key.process.host,
           wait_ms=wait_ms,
           waiting_jobs=sum(bool(j.waiting) for j in owner.jobs.values()),
-          kept_for_wider=outlook.kept,
+          kept_for_wider=forecast.reserved_slots,
           fence=owner.fence,
       )
   )
-  owner.tell(
-      offer.key.party,
+  owner.send_to_coordinator(
+      offer.key.process,
       linkmessages.Declined(offer.key, offer.number, wait_ms, in_time),
   )
 
 
-def refuse(
+def decline(
     owner: ownerstate.Owner,
     offer: linkmessages.Offered,
     reason: str,
@@ -110,63 +118,63 @@
     wait_ms: when it may come back.
     **inputs: what else decided it, for the log.
   """
-  owner.out(
+  owner.emit(
       events.log(
           "job_declined",
           job=offer.job.id,
-          coordinator=offer.key.party.host,
+          coordinator=offer.key.process.host,
           why=reason,
           wait_ms=wait_ms,
           **inputs,
           fence=owner.fence,
       )
   )
-  owner.tell(
-      offer.key.party,
+  owner.send_to_coordinator(
+      offer.key.process,
       linkmessages.Declined(offer.key, offer.number, wait_ms, reason=reason),
   )
 
 
-def new_record(
+def add_job(
     owner: ownerstate.Owner, offer: linkmessages.Offered
 ) -> ownerstate.JobRecord:
   """Notes a job that is taken."""
   record = ownerstate.JobRecord(
-      offer, owner.now, outlook_lib.latest_start(owner, offer)
+      offer, owner.now, forecast_lib.latest_start(owner, offer)
   )
   owner.jobs[offer.key] = record
   owner.by_id[offer.job.id] = record
   return record
 
 
-def find_runs(owner: ownerstate.Owner, job: ownerstate.JobRecord):
+def adopt_existing_runs(owner: ownerstate.Owner, job: ownerstate.JobRecord):
   """Takes up what an earlier holder, or an earlier try, started of the job."""
   for record in owner.endpoints.values():
     for run in list(record.runs.values()):
       if run.id.task.job_id == job.job.id:
         _take_up(owner, job, record, run)
   for task in job.tasks:
-    early = owner.early_ends.pop(task, None)
+    early = owner.early_results.pop(task, None)
     if early is not None:
-      outcomes.take_early_end(job, task, early)
-  outcomes.end_if_over(owner, job)
+      outcomes.apply_early_result(job, task, early)
+  outcomes.end_job_if_finished(owner, job)
 
 
-def _take_up(owner, job: ownerstate.JobRecord, record, run: ledger.Run):
+def _take_up(owner, job: ownerstate.JobRecord, record, run: endpointstate.Run):
   task = job.tasks.get(run.id.task)
   if task is None:
     return
   task.attempt = max(task.attempt, run.id.attempt)
-  if run.need is None and run.state is ledger.RunState.RUNNING:
-    leases.adopt(owner, record, run)
-  elif not run.given_back:
+  if run.need is None and run.state is endpointstate.RunState.RUNNING:
+    leases.adopt_run(owner, record, run)
+  elif not run.abandoned:
     # It is being stopped: the next run of the task waits for its end.
-    task.previous = run.id
+    task.previous_run = run.id
 
 
-def withdrawn(owner: ownerstate.Owner, key: linkmessages.JobKey):
+def handle_withdrawal(owner: ownerstate.Owner, key: linkmessages.JobKey):
   """The coordinator gave the job up."""
   job = owner.jobs.get(key)
   if job is not None:
     outcomes.end_job(owner, job, None, "withdrawn")
-    orders.place(owner)
+    runcontrol.start_waiting_tasks(owner)
--- a/fescueturn/scheduler/outcomes.py
+++ b/fescueturn/scheduler/outcomes.py
@@ -5,55 +5,59 @@
 """
 
 from fescueturn.scheduler import crashes
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import events
-from fescueturn.scheduler import ledger
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
-from fescueturn.scheduler import orders
 from fescueturn.scheduler import ownerstate
+from fescueturn.scheduler import runcontrol
 
 _KEPT_STATES = {
-    model.Outcome.DONE: model.KeptState.DONE,
-    model.Outcome.FAILED: model.KeptState.FAILED,
-    model.Outcome.CANCELLED: model.KeptState.CANCELLED,
+    model.Outcome.DONE: model.KeptJobState.DONE,
+    model.Outcome.FAILED: model.KeptJobState.FAILED,
+    model.Outcome.CANCELLED: model.KeptJobState.CANCELLED,
 }
 
 
-def run_over(owner, record, run: ledger.Run, how: model.EndHow, why: str):
+def finish_run(
+    owner, record, run: endpointstate.Run, how: model.RunOutcome, why: str
+):
   """A run surely goes on no longer: frees its room, settles its task."""
   record.remove(run.id)
-  if how is model.EndHow.DONE:
-    record.run_done(run, owner.now)
-  elif how is model.EndHow.FAILED and record.run_failed(
+  if how is model.RunOutcome.DONE:
+    record.record_done_run(run, owner.now)
+  elif how is model.RunOutcome.FAILED and record.record_failed_run(
       run.id.task.job_id, owner.now
   ):
     owner.counters["ejected"] += 1
-    owner.out(
+    owner.emit(
         ownerstate.endpoint_log(
             "endpoint_ejected",
             record,
-            for_s=round(record.out_until - owner.now, 2),
+            for_s=round(record.excluded_until - owner.now, 2),
         )
     )
   job = owner.by_id.get(run.id.task.job_id)
   task = job.tasks.get(run.id.task) if job else None
   if task is None:
     return
-  if task.previous == run.id:
-    task.previous = None
-    hand_back_if_over(owner, job)
+  if task.previous_run == run.id:
+    task.previous_run = None
+    hand_back_if_idle(owner, job)
   if task.run != run.id:
     return
-  if how is not model.EndHow.DONE:
-    owner.out(
+  if how is not model.RunOutcome.DONE:
+    owner.emit(
         ownerstate.run_log("run_ended", record, run, how=how.value, why=why)
     )
-  if how is model.EndHow.FAILED:
+  if how is model.RunOutcome.FAILED:
     task.failed.add(run.id.attempt)
   _task_over(owner, job, task, how)
 
 
-def used_up(job: ownerstate.JobRecord, task: ownerstate.TaskRecord) -> bool:
+def attempts_exhausted(
+    job: ownerstate.JobRecord, task: ownerstate.TaskRecord
+) -> bool:
   """Returns whether a task failed as often as it may."""
   return len(task.failed) >= job.job.attempts
 
@@ -62,19 +66,19 @@
     owner,
     job: ownerstate.JobRecord,
     task: ownerstate.TaskRecord,
-    how: model.EndHow,
+    how: model.RunOutcome,
 ):
   owner.counters[f"run_{how.value}"] += 1
-  if how is model.EndHow.DONE:
+  if how is model.RunOutcome.DONE:
     job.task_done(task)
   else:
-    job.task_waits(task)
-  end_if_over(owner, job)
-  hand_back_if_over(owner, job)
+    job.requeue_task(task)
+  end_job_if_finished(owner, job)
+  hand_back_if_idle(owner, job)
 
 
-def take_early_end(
-    job: ownerstate.JobRecord, name: model.Task, early: ownerstate.EarlyEnd
+def apply_early_result(
+    job: ownerstate.JobRecord, name: model.Task, early: ownerstate.EarlyResult
 ):
   """Takes ends of a task's runs that this holder did not order."""
   task = job.tasks.get(name)
@@ -83,69 +87,69 @@
   task.attempt = max(task.attempt, early.attempt)
   if job.job.kept:
     task.failed |= early.failed
-  if early.how is model.EndHow.DONE:
+  if early.how is model.RunOutcome.DONE:
     job.task_done(task)
 
 
-def end_listed(owner, record, ended: model.Ended):
+def handle_listed_end(owner, record, ended: model.EndedRun):
   """Takes an end of a run that an endpoint lists."""
   _keep_end(owner, record, ended)
   run = record.runs.get(ended.run)
   known = run is not None and ended.run.task.job_id in owner.by_id
   if run is not None:
-    run_over(owner, record, run, ended.how, "listed")
+    finish_run(owner, record, run, ended.how, "listed")
   if not known:
     _end_of_unknown(owner, ended)
 
 
-def _keep_end(owner, record, ended: model.Ended):
+def _keep_end(owner, record, ended: model.EndedRun):
   """Has the endpoint list the end of a kept task until it is in the store."""
-  if ended.how is model.EndHow.LOST:
+  if ended.how is model.RunOutcome.LOST:
     return
-  keeper = owner.keeper
+  kept_records = owner.kept_records
   job = owner.by_id.get(ended.run.task.job_id)
   if job is not None and job.job.kept:
-    waiting = keeper.unsaved
-  elif not keeper.loaded:
-    waiting = keeper.early_ends
+    waiting = kept_records.unsaved_results
+  elif not kept_records.loaded:
+    waiting = kept_records.early_results
   else:
     return
-  record.unsaved.add(ended.number)
+  record.unsaved_ends.add(ended.number)
   ends = waiting.setdefault(ended.run.task.job_id, set())
   ends.add((record.info.id, ended.number))
 
 
-def _end_of_unknown(owner, ended: model.Ended):
+def _end_of_unknown(owner, ended: model.EndedRun):
   """Takes the end of a run that an earlier holder ordered.
 
   Its job may have been offered already, or may still be.
   """
   task, attempt, how = ended.run.task, ended.run.attempt, ended.how
-  failed = frozenset((attempt,) if how is model.EndHow.FAILED else ())
-  earlier = owner.early_ends.get(task)
+  failed = frozenset((attempt,) if how is model.RunOutcome.FAILED else ())
+  earlier = owner.early_results.get(task)
   if earlier is not None:
     attempt = max(attempt, earlier.attempt)
     failed |= earlier.failed
-    if earlier.how is model.EndHow.DONE:
+    if earlier.how is model.RunOutcome.DONE:
       how = earlier.how
-  until = owner.now + ownerstate.EARLY_ENDS_KEEP_S
-  early = ownerstate.EarlyEnd(attempt, how, until, failed)
+  until = owner.now + ownerstate.EARLY_RESULT_TTL_S
+  early = ownerstate.EarlyResult(attempt, how, until, failed)
   job = owner.by_id.get(task.job_id)
   if job is None:
-    owner.early_ends[task] = early
+    owner.early_results[task] = early
     return
-  take_early_end(job, task, early)
-  end_if_over(owner, job)
+  apply_early_result(job, task, early)
+  end_job_if_finished(owner, job)
 
 
-def end_if_over(owner, job: ownerstate.JobRecord):
+def end_job_if_finished(owner, job: ownerstate.JobRecord):
   """Ends a job that is done, or has a task that failed too often."""
   if job.done:
     end_job(owner, job, model.Outcome.DONE, "done")
-  elif any(used_up(job, task) for task in job.tasks.values()):
+  elif any(attempts_exhausted(job, task) for task in job.tasks.values()):
     end_job(owner, job, model.Outcome.FAILED, "attempts_used")
   elif any(crashes.is_poison(job, task) for task in job.tasks.values()):
-    owner.out(crashes.give_up_log(job))
+    owner.emit(crashes.give_up_log(job))
     end_job(owner, job, model.Outcome.FAILED, crashes.REASON)
 
 
@@ -158,24 +162,24 @@
   job.returning = True
   for task in job.tasks.values():
     if task.run is not None:
-      orders.stop_task(owner, task)
-  hand_back_if_over(owner, job)
+      runcontrol.stop_task(owner, task)
+  hand_back_if_idle(owner, job)
 
 
-def hand_back_if_over(owner, job: ownerstate.JobRecord):
+def hand_back_if_idle(owner, job: ownerstate.JobRecord):
   """Gives a job that is being handed back to its coordinator."""
   if not job.returning or job.active or job.key not in owner.jobs:
     return
   if job.job.kept:
     return  # It moves with its records, by another write to the store.
   end_job(owner, job, None, "handed_back")
-  owner.tell(
-      job.key.party,
+  owner.send_to_coordinator(
+      job.key.process,
       linkmessages.Returned(job.key, job.offer_number, job.begun),
   )
 
 
-def give_task_back(owner, record, run: ledger.Run):
+def requeue_lost_task(owner, record, run: endpointstate.Run):
   """Frees a task whose run is surely over by its lease.
 
   The run keeps its room: an order that was never answered may still be
@@ -183,20 +187,20 @@
   """
   job = owner.by_id.get(run.id.task.job_id)
   task = job.tasks.get(run.id.task) if job else None
-  if task is not None and task.previous == run.id:
-    task.previous = None
-    hand_back_if_over(owner, job)
+  if task is not None and task.previous_run == run.id:
+    task.previous_run = None
+    hand_back_if_idle(owner, job)
   if task is None or task.run != run.id:
     return
-  owner.out(
+  owner.emit(
       ownerstate.run_log("run_ended", record, run, how="lost", why="lapsed")
   )
-  crashes.note_loss(owner, record, run)
-  run.given_back = True
-  if run.state is not ledger.RunState.STOPPING:
-    run.state = ledger.RunState.UNSURE
-    orders.stop(owner, record, run)
-  _task_over(owner, job, task, model.EndHow.LOST)
+  crashes.record_loss(owner, record, run)
+  run.abandoned = True
+  if run.state is not endpointstate.RunState.STOPPING:
+    run.state = endpointstate.RunState.UNSURE
+    runcontrol.stop_run(owner, record, run)
+  _task_over(owner, job, task, model.RunOutcome.LOST)
 
 
 def _missing(owner, job: ownerstate.JobRecord) -> dict[str, object]:
@@ -211,7 +215,7 @@
       for t in active
       if t.endpoint in owner.endpoints
   ]
-  found = [(run.since, run, t) for run, t in runs if run is not None]
+  found = [(run.started_at, run, t) for run, t in runs if run is not None]
   if found:
     since, run, task = min(found, key=lambda entry: entry[0])
     fields |= {
@@ -234,14 +238,14 @@
     del owner.by_id[job.job.id]
   for task in job.tasks.values():
     if task.run is not None:
-      orders.stop_task(owner, task)
+      runcontrol.stop_task(owner, task)
   owner.counters[f"job_{why}"] += 1
   if outcome is not model.Outcome.DONE:
-    owner.out(
+    owner.emit(
         events.log(
             "job_over",
             job=job.job.id,
-            coordinator=job.key.party.host,
+            coordinator=job.key.process.host,
             why=why,
             begun=job.begun,
             age_ms=int((owner.now - job.arrived) * 1000),
@@ -249,6 +253,8 @@
         )
     )
   if job.job.kept:
-    owner.keeper.over[job.job.id] = _KEPT_STATES[outcome]
+    owner.kept_records.unsaved_states[job.job.id] = _KEPT_STATES[outcome]
   elif outcome is not None:
-    owner.tell(job.key.party, linkmessages.JobEnded(job.key, outcome, why))
+    owner.send_to_coordinator(
+        job.key.process, linkmessages.JobEnded(job.key, outcome, why)
+    )
--- a/fescueturn/scheduler/ownerstate.py
+++ b/fescueturn/scheduler/ownerstate.py
@@ -5,28 +5,28 @@
 import enum
 
 from fescueturn import settings
-from fescueturn.scheduler import doubts
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import evacuation
 from fescueturn.scheduler import events
-from fescueturn.scheduler import keeping
-from fescueturn.scheduler import ledger
+from fescueturn.scheduler import keptrecords
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
-from fescueturn.scheduler import patience
+from fescueturn.scheduler import reservations
 from fescueturn.scheduler import roster
-from fescueturn.scheduler import shares
+from fescueturn.scheduler import suspicion
+from fescueturn.scheduler import timeouts
 
 # A new holder takes jobs unseen for so long, until it knows its endpoints: the
 # store's list takes 6 ms and the endpoints' answers 2 ms, on a busy host 30.
-ASK_S = 0.1
+OPTIMISTIC_ADMISSION_S = 0.1
 # Ends found on taking over, of runs whose job is not known yet, are kept
 # until the coordinators have offered their jobs.
-EARLY_ENDS_KEEP_S = 2.0
+EARLY_RESULT_TTL_S = 2.0
 # Tasks that an earlier holder had and that are not found running wait this
 # long: the list of endpoints may lack some whose entries have lapsed with a
 # store that was away. The earlier holder is fenced off at its next lease call
 # (within 0.5 s), and the last lease it asked for lasts 0.84 s more.
-SETTLE_S = 1.5
+RECOVERY_TIMEOUT_S = 1.5
 # Attempts of a kept job's task are numbered anew by each holder, from as many
 # times this as there were holders before: no holder knows what the one before
 # it ordered last.
@@ -55,13 +55,13 @@
     self.failed: set[int] = set()
     # Endpoints lost under it: those that surely crashed, and those in doubt.
     self.crashed: set[str] = set()
-    self.lost_with: dict[str, settings.Address] = {}
+    self.lost_endpoints: dict[str, settings.Address] = {}
     self.run: model.RunId | None = None
     self.endpoint = ""
     # The endpoint where a run of it was stopped for being slow, if any.
     self.moved_from = ""
     # A run of an earlier try at the job that may still go on.
-    self.previous: model.RunId | None = None
+    self.previous_run: model.RunId | None = None
 
   @property
   def estimate_s(self) -> float:
@@ -92,7 +92,7 @@
     self.key = offer.key
     self.job = offer.job
     self.arrived = now - offer.age_s
-    self.deadline = now + offer.left_s
+    self.deadline = now + offer.remaining_s
     self.latest_start = latest_start
     self.resumed = offer.resumed
     self.begun = offer.resumed
@@ -100,7 +100,7 @@
     self.returning = False
     self.tasks: dict[model.Task, TaskRecord] = {}
     self.waiting: list[TaskRecord] = []
-    self.left = [step.count for step in self.job.steps]
+    self.unfinished = [step.count for step in self.job.steps]
     for number, step in enumerate(self.job.steps):
       for index in range(step.count):
         task = model.Task(self.job.id, number, index)
@@ -110,13 +110,13 @@
   @property
   def done(self) -> bool:
     """True when every task has ended well."""
-    return not any(self.left)
+    return not any(self.unfinished)
 
   @property
   def active(self) -> bool:
     """True while a run of it may go on."""
     return any(
-        task.state is TaskState.ACTIVE or task.previous is not None
+        task.state is TaskState.ACTIVE or task.previous_run is not None
         for task in self.tasks.values()
     )
 
@@ -129,14 +129,14 @@
   def offer(self, now: float) -> linkmessages.Offered:
     """Returns the job as its coordinator would offer it now."""
     return dataclasses.replace(
-        self._offer, age_s=now - self.arrived, left_s=self.deadline - now
+        self._offer, age_s=now - self.arrived, remaining_s=self.deadline - now
     )
 
   def release_steps(self):
     """Makes the tasks wait whose earlier steps are all done."""
     for record in self.tasks.values():
       if record.state is TaskState.BLOCKED and not any(
-          self.left[i] for i in record.step.after
+          self.unfinished[i] for i in record.step.after
       ):
         record.state = TaskState.WAITING
         self.waiting.append(record)
@@ -147,18 +147,18 @@
       self.waiting.remove(record)
     record.state = TaskState.DONE
     record.run = None
-    self.left[record.task.step] -= 1
-    if not self.left[record.task.step]:
+    self.unfinished[record.task.step] -= 1
+    if not self.unfinished[record.task.step]:
       self.release_steps()
 
-  def task_waits(self, record: TaskRecord):
+  def requeue_task(self, record: TaskRecord):
     """Has a task wait for another run."""
     record.state = TaskState.WAITING
     record.run = None
     self.waiting.insert(0, record)
 
 
-class Loss:
+class SuspectedCrash:
   """An endpoint that fell silent under tasks: its address, when, and which."""
 
   def __init__(self, address: settings.Address, since: float):
@@ -168,7 +168,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class EarlyEnd:
+class EarlyResult:
   """Ends of a task that were listed before its job was known here.
 
   Attributes:
@@ -179,7 +179,7 @@
   """
 
   attempt: int
-  how: model.EndHow
+  how: model.RunOutcome
   until: float
   failed: frozenset[int] = frozenset()
 
@@ -189,7 +189,7 @@
   """What an endpoint takes at once: tasks, and their resources."""
 
   slots: int
-  capacity: model.Room
+  capacity: model.Resources
 
 
 class Owner:
@@ -200,44 +200,44 @@
       shard: model.Shard,
       fence: int,
       now: float,
-      ended_kept_s: float = 0.0,
-      left: frozenset[str] | None = None,
+      ended_job_retention_s: float = 0.0,
+      previous_roster: frozenset[str] | None = None,
       evacuations: evacuation.Evacuations | None = None,
   ):
     self.shard = shard
     self.fence = fence
     self.now = now
-    self._evacuations = evacuations or evacuation.Evacuations(known=True)
+    self._evacuations = evacuations or evacuation.Evacuations(loaded=True)
     self.roster = roster.Roster()
     # Endpoints where something of the holder before may run, and that have not
     # told yet; None where it isn't known which.
-    self.unheard = None if left is None else set(left)
+    self.unreported = None if previous_roster is None else set(previous_roster)
     # How long kept jobs that are over stay known.
-    self.ended_kept_s = ended_kept_s
-    self.keeper = keeping.Keeper()
-    self.endpoints: dict[str, ledger.EndpointRecord] = {}
+    self.ended_job_retention_s = ended_job_retention_s
+    self.kept_records = keptrecords.KeptRecords()
+    self.endpoints: dict[str, endpointstate.EndpointRecord] = {}
     # Lives that are over though they are listed: another answers there.
-    self.gone: set[tuple[str, settings.Address]] = set()
+    self.dead_incarnations: set[tuple[str, settings.Address]] = set()
     # By service, how many listed endpoints of each size there are.
     self._sizes: dict[str, collections.Counter[_Size]] = {}
     self.jobs: dict[linkmessages.JobKey, JobRecord] = {}
     self.by_id: dict[str, JobRecord] = {}
-    self.heard: dict[linkmessages.Party, float] = {}
+    self.last_contact: dict[linkmessages.HostProcess, float] = {}
     # Hosts that could carry the shard, and when each was last heard from.
-    self.successors: dict[linkmessages.Party, float] = {}
+    self.successors: dict[linkmessages.HostProcess, float] = {}
     # Holders of other data centres that hosts there don't hear.
-    self.doubts = doubts.Doubts()
-    self.losses = patience.Losses()
+    self.holder_suspicions = suspicion.SuspicionTracker()
+    self.call_losses = timeouts.CallLossRate()
     # When the list of endpoints was last read.
     self.listed_at: float | None = None
-    self.early_ends: dict[model.Task, EarlyEnd] = {}
+    self.early_results: dict[model.Task, EarlyResult] = {}
     # Endpoints lost under tasks, of which it is in doubt whether they crashed.
-    self.lost_under: dict[str, Loss] = {}
+    self.suspected_crashes: dict[str, SuspectedCrash] = {}
     # When an endpoint last crashed at an address.
     self.crashed_at: dict[settings.Address, float] = {}
-    self.demand = shares.Demand()
+    self.demand = reservations.Demand()
     self.fenced = False
-    self.patient_until = now
+    self.ignore_silence_until = now
     self.taken_at = now
     self.counters: collections.Counter[str] = collections.Counter()
     self.effects: list[events.Effect] = []
@@ -253,20 +253,20 @@
     return self._evacuations.may_start(self.shard.data_centre)
 
   @property
-  def settled(self) -> bool:
+  def recovered(self) -> bool:
     """True once all that an earlier holder started is known, or over."""
-    if self.unheard is not None and not self.unheard:
+    if self.unreported is not None and not self.unreported:
       return True
-    return self.now - self.taken_at > SETTLE_S
+    return self.now - self.taken_at > RECOVERY_TIMEOUT_S
 
   @property
-  def just_taken(self) -> bool:
+  def awaiting_endpoints(self) -> bool:
     """True while no endpoint has had the time to answer this new holder."""
-    return self.now - self.taken_at < ASK_S and not any(
-        record.known for record in self.endpoints.values()
+    return self.now - self.taken_at < OPTIMISTIC_ADMISSION_S and not any(
+        record.runs_known for record in self.endpoints.values()
     )
 
-  def list_sizes(self, listed: tuple[model.Endpoint, ...]):
+  def set_endpoint_sizes(self, listed: tuple[model.Endpoint, ...]):
     """Takes the sizes of all endpoints, those of other shards among them."""
     self._sizes = {}
     for endpoint in listed:
@@ -274,7 +274,7 @@
       counts = self._sizes.setdefault(endpoint.service, collections.Counter())
       counts[size] += 1
 
-  def places(self, service: str, need: model.Room) -> int:
+  def total_slots(self, service: str, need: model.Resources) -> int:
     """Returns how many tasks of `need` all listed endpoints run at once."""
     counts = self._sizes.get(service, {})
     return sum(
@@ -282,12 +282,12 @@
         for size, count in counts.items()
     )
 
-  def heard_from(self, endpoint: str):
+  def endpoint_reported(self, endpoint: str):
     """Notes that an endpoint told what runs there, or that it is over."""
-    if self.unheard is not None:
-      self.unheard.discard(endpoint)
+    if self.unreported is not None:
+      self.unreported.discard(endpoint)
 
-  def out(self, *effects: events.Effect):
+  def emit(self, *effects: events.Effect):
     """Adds effects to carry out."""
     self.effects += effects
 
@@ -296,31 +296,32 @@
     effects, self.effects = self.effects, []
     return effects
 
-  def tell(self, party: linkmessages.Party, message):
+  def send_to_coordinator(self, process: linkmessages.HostProcess, message):
     """Has a message sent to a coordinator."""
-    self.out(events.TellCoordinator(party, self.shard, message))
+    self.emit(events.SendToCoordinator(process, self.shard, message))
 
   def snapshot(self) -> dict:
     """Returns a JSON-ready dump."""
     return {
         "shard": [self.shard.data_centre, self.shard.number],
         "fence": self.fence,
-        "settled": self.settled,
+        "settled": self.recovered,
         "jobs": len(self.jobs),
         "waiting_tasks": sum(len(j.waiting) for j in self.jobs.values()),
         "coordinators": {
-            p.host: round(self.now - at, 3) for p, at in self.heard.items()
+            p.host: round(self.now - at, 3)
+            for p, at in self.last_contact.items()
         },
         "endpoints": {
             name: record.snapshot(self.now)
             for name, record in sorted(self.endpoints.items())
         },
-        "kept": self.keeper.snapshot(),
+        "kept": self.kept_records.snapshot(),
         "counters": dict(self.counters),
     }
 
 
-def endpoint_log(event: str, record: ledger.EndpointRecord, **fields):
+def endpoint_log(event: str, record: endpointstate.EndpointRecord, **fields):
   """Returns a log line about an endpoint."""
   return events.log(
       event,
@@ -331,7 +332,7 @@
   )
 
 
-def run_log(event: str, record, run: ledger.Run, **fields):
+def run_log(event: str, record, run: endpointstate.Run, **fields):
   """Returns a log line about a run."""
   task = run.id.task
   return events.log(
--- a/fescueturn/scheduler/shares.py
+++ b/fescueturn/scheduler/reservations.py
@@ -78,7 +78,7 @@
     demand.tasks += tasks
     demand.work_s += work_s
 
-  def kept_for_wider(
+  def reserved_for_wider(
       self, queue: str, tasks: int, in_use: dict[str, int], total: int
   ) -> int:
     """Returns how many places a job must leave to queues of wider ones.
--- a/fescueturn/scheduler/roster.py
+++ b/fescueturn/scheduler/roster.py
@@ -3,7 +3,7 @@
 A holder tells it to the hosts of its data centre, one of which is the shard's
 next holder. That one has asked everywhere as soon as each endpoint of the roster
 has answered it, some 20 ms after its claim; without a roster it has to wait
-until every lease of the holder before is over (`ownerstate.SETTLE_S`).
+until every lease of the holder before is over (`ownerstate.RECOVERY_TIMEOUT_S`).
 
 Tasks of a job that a lost holder had, and that are not found running, then
 begin again after some 20 ms instead of 1.5 s.
@@ -17,18 +17,18 @@
 # How old a roster may be when the next holder takes over: a claim that lapses
 # does so 1.5 s after its last renewal, the roster was told up to 0.1 s before,
 # and the next claim takes up to 0.2 s.
-GOOD_S = 2.0
+MAX_AGE_S = 2.0
 # An endpoint that joins gets its first order this long after it entered the
 # roster: by then each roster without it is too old, with half a second for an
 # order to be stopped by a fence elsewhere.
-JOIN_WAIT_S = 2.5
+JOIN_DELAY_S = 2.5
 # An endpoint stays in the roster for so long after it was dropped: entries that
 # lapse with the store are back within seconds, and need not join anew.
-DROPPED_KEPT_S = 10.0
+REMOVED_RETENTION_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class RosterUpdate:
   """What a host is told of a roster.
 
   Attributes:
@@ -40,7 +40,7 @@
   endpoints: tuple[str, ...] | None = None
 
 
-NOTHING_TOLD = Told(0)
+NO_UPDATE = RosterUpdate(0)
 
 
 class Roster:
@@ -51,15 +51,17 @@
     self._endpoints: frozenset[str] = frozenset()
     self._dropped: dict[str, float] = {}
 
-  def dropped(self, endpoint: str, now: float):
+  def record_removal(self, endpoint: str, now: float):
     """Notes an endpoint that the holder has dropped for now."""
-    self._dropped[endpoint] = now + DROPPED_KEPT_S
+    self._dropped[endpoint] = now + REMOVED_RETENTION_S
 
-  def lacks(self, endpoint: str, now: float) -> bool:
+  def must_delay_join(self, endpoint: str, now: float) -> bool:
     """Returns whether hosts may know a roster without an endpoint that joins."""
     return self._version > 0 and self._dropped.get(endpoint, 0.0) <= now
 
-  def tell(self, known: int, in_use: Iterable[str], now: float) -> Told:
+  def update_for(
+      self, known: int, in_use: Iterable[str], now: float
+  ) -> RosterUpdate:
     """Returns what to tell a host that knows the version `known`.
 
     Args:
@@ -70,16 +72,16 @@
     self._dropped = {e: t for e, t in self._dropped.items() if t > now}
     endpoints = frozenset(in_use).union(self._dropped)
     if not endpoints and not self._version:
-      return NOTHING_TOLD  # The list of endpoints has not been read yet.
+      return NO_UPDATE  # The list of endpoints has not been read yet.
     if endpoints != self._endpoints:
       self._endpoints = endpoints
       self._version += 1
     if known == self._version:
-      return Told(self._version)
-    return Told(self._version, tuple(sorted(self._endpoints)))
+      return RosterUpdate(self._version)
+    return RosterUpdate(self._version, tuple(sorted(self._endpoints)))
 
 
-def left_by(
+def inherited_endpoints(
     before: coordinatorstate.HolderRecord | None, follows: int, now: float
 ) -> frozenset[str] | None:
   """Returns where things of the holder before may run; None if unknown.
@@ -91,6 +93,6 @@
   """
   if before is None or not follows or before.holder.fence != follows:
     return None
-  if not before.roster_version or now - before.roster_at > GOOD_S:
+  if not before.roster_version or now - before.roster_valid_at > MAX_AGE_S:
     return None
   return before.roster
--- a/fescueturn/scheduler/orders.py
+++ b/fescueturn/scheduler/runcontrol.py
@@ -1,21 +1,21 @@
 """An owner's orders: which waiting task starts where, and what is stopped."""
 
 from fescueturn.scheduler import crashes
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import events
-from fescueturn.scheduler import ledger
 from fescueturn.scheduler import model
 from fescueturn.scheduler import ownerstate
 
 # A task is not started again when its caller waits no longer than this.
-MIN_LEFT_S = 0.02
+MIN_TIME_LEFT_S = 0.02
 # An order to start is sent so often to the same endpoint before its run is stopped:
 # with three in ten orders lost, three are one time in forty. Weighed against a stop
 # and a start elsewhere at once, which takes three calls that must all be answered:
 # with that 0.61 of an emulated load were served in time, with this 0.76.
-MOST_SENDS = 3
+MAX_SENDS = 3
 
 
-def place(owner: ownerstate.Owner):
+def start_waiting_tasks(owner: ownerstate.Owner):
   """Starts waiting tasks wherever there is room, most urgent jobs first."""
   if owner.fenced or not owner.may_start:
     return
@@ -27,12 +27,14 @@
     return
   waiting.sort(key=lambda job: job.latest_start)
   for job in waiting:
-    if job.deadline - owner.now < MIN_LEFT_S:
+    if job.deadline - owner.now < MIN_TIME_LEFT_S:
       continue
-    if job.returning or (job.resumed and not owner.settled):
+    if job.returning or (job.resumed and not owner.recovered):
       continue
     for task in list(job.waiting):
-      if task.previous is not None or crashes.held(owner, job, task):
+      if task.previous_run is not None or crashes.blocks_start(
+          owner, job, task
+      ):
         continue
       record = _choose(owner, job, task, usable)
       if record is None:
@@ -43,7 +45,7 @@
 def _choose(owner, job, task: ownerstate.TaskRecord, usable):
   """Returns the quickest endpoint with room for the task, or None."""
   step = task.step
-  lost = bool(task.lost_with or task.crashed)
+  lost = bool(task.lost_endpoints or task.crashed)
   best, best_rank = None, None
   for record in usable:
     if record.info.service != job.job.service or not record.fits(step.need):
@@ -59,7 +61,7 @@
     # A task that may take its endpoint down puts as few others at risk as can be.
     risk = ()
     if lost:
-      risk = (crashes.crashed_lately(owner, record), len(record.runs))
+      risk = (crashes.crashed_recently(owner, record), len(record.runs))
     rank = (
         left,
         risk,
@@ -72,13 +74,15 @@
   return best
 
 
-def elsewhere(owner, job, task: ownerstate.TaskRecord, record) -> bool:
+def can_start_elsewhere(
+    owner, job, task: ownerstate.TaskRecord, record
+) -> bool:
   """Returns whether the task could start at a quick endpoint now."""
   quick = [
       other
       for other in owner.endpoints.values()
       if other is not record
-      and other.slowness < ledger.SLOW_RATIO
+      and other.slowness < endpointstate.SLOW_RATIO
       and other.usable(owner.now)
   ]
   return _choose(owner, job, task, quick) is not None
@@ -96,10 +100,10 @@
   deadline_ms = record.extend_lease(owner.now)
   task.attempt += 1
   run_id = model.RunId(task.task, task.attempt)
-  run = ledger.Run(
+  run = endpointstate.Run(
       run_id,
       task.step.need,
-      ledger.RunState.ORDERED,
+      endpointstate.RunState.ORDERED,
       owner.now,
       task.step.estimate_ms,
       deadline_ms,
@@ -112,38 +116,38 @@
   if not job.begun:
     job.begun = True
     waited_ms = int((owner.now - job.arrived) * 1000)
-    owner.out(
+    owner.emit(
         events.log(
             "job_begun",
             job=job.job.id,
-            coordinator=job.key.party.host,
+            coordinator=job.key.process.host,
             waited_ms=waited_ms,
             fence=owner.fence,
         )
     )
   owner.counters["starts"] += 1
-  owner.out(
+  owner.emit(
       events.StartRun(
           record.info, run_id, job.job.spec, deadline_ms, owner.fence
       )
   )
 
 
-def start_again(owner, record, run: ledger.Run) -> bool:
+def resend_start(owner, record, run: endpointstate.Run) -> bool:
   """Sends the order of a run again that got no answer; returns whether it did.
 
   An endpoint begins a run once, however often it is told to.
   """
   job = owner.by_id.get(run.id.task.job_id)
-  wanted = job is not None and run.state is ledger.RunState.ORDERED
+  wanted = job is not None and run.state is endpointstate.RunState.ORDERED
   if not wanted or job.returning or not owner.may_start:
     return False
-  if run.sends >= MOST_SENDS or record.silent_since is not None:
+  if run.sends >= MAX_SENDS or record.silent_since is not None:
     return False
   run.sends += 1
   run.sent_at = owner.now
   run.deadline_ms = record.extend_lease(owner.now)
-  owner.out(
+  owner.emit(
       events.StartRun(
           record.info, run.id, job.job.spec, run.deadline_ms, owner.fence
       )
@@ -151,19 +155,19 @@
   return True
 
 
-def stop(owner, record, run: ledger.Run):
+def stop_run(owner, record, run: endpointstate.Run):
   """Orders a run to stop; it frees its room once its end is listed."""
-  if run.state is not ledger.RunState.UNSURE:
-    run.state = ledger.RunState.STOPPING
-  run.settled_at = 0
+  if run.state is not endpointstate.RunState.UNSURE:
+    run.state = endpointstate.RunState.STOPPING
+  run.listed_from_call = 0
   run.stop_sent_at = owner.now
   owner.counters["stops"] += 1
-  owner.out(events.StopRun(record.info, run.id, owner.fence))
+  owner.emit(events.StopRun(record.info, run.id, owner.fence))
 
 
 def stop_task(owner, task: ownerstate.TaskRecord):
   """Orders a task's run to stop, unless that was done already."""
   record = owner.endpoints.get(task.endpoint)
   run = record.runs.get(task.run) if record else None
-  if run is not None and run.state is not ledger.RunState.STOPPING:
-    stop(owner, record, run)
+  if run is not None and run.state is not endpointstate.RunState.STOPPING:
+    stop_run(owner, record, run)
--- a/fescueturn/scheduler/holding.py
+++ b/fescueturn/scheduler/shardownership.py
@@ -12,21 +12,23 @@
 from fescueturn.scheduler import roster
 
 
-def holder_changed(state, event: events.HolderChanged) -> list:
+def handle_holder_change(state, event: events.HolderChanged) -> list:
   """Takes it that the store names another holder of one of these shards."""
   candidate = state.candidates.get(event.shard)
   if candidate is None:
     return []
-  election.holder_changed(candidate, event.holder, state.now, event.blank)
+  election.handle_holder_change(
+      candidate, event.holder, state.now, event.unreadable_revision
+  )
   holder = candidate.holder
-  if holder is None and state.now < candidate.yields_until:
+  if holder is None and state.now < candidate.yield_until:
     return drop_owner(state, event.shard, "roomier_host")
   if holder is None:
     return []
-  mine = linkmessages.Party(holder.host, holder.boot) == state.me.party
-  if holder.host == state.me.party.host and not mine:
+  mine = linkmessages.HostProcess(holder.host, holder.boot) == state.me.process
+  if holder.host == state.me.process.host and not mine:
     # This host's own process of before, which is gone.
-    election.holder_gone(candidate, state.now)
+    election.mark_holder_stale(candidate, state.now)
   owner = state.owners.get(event.shard)
   if not mine:
     if owner is not None and owner.fence < holder.fence:
@@ -34,12 +36,12 @@
     return []
   if owner is not None and owner.fence >= holder.fence:
     return []
-  if owner is not None and not keptjobs.holds_kept(owner):
+  if owner is not None and not keptjobs.has_kept_jobs(owner):
     keptjobs.replace_fence(owner, holder.fence)
     return []
   # Another holder may have written kept jobs' records between the two claims.
   lost = drop_owner(state, event.shard, "claimed_anew")
-  if holder.fence <= candidate.stood_down_from:
+  if holder.fence <= candidate.stepped_down_fence:
     return []
   return lost + _take_shard(state, event.shard, holder.fence, event.follows)
 
@@ -47,14 +49,14 @@
 def _take_shard(state, shard: model.Shard, fence: int, follows: int) -> list:
   # A list from before may show endpoints as ready that are draining by now;
   # the shell fetches a fresh one as soon as a shard is owned.
-  left = roster.left_by(
+  left = roster.inherited_endpoints(
       state.coordinator.holders.get(shard), follows, state.now
   )
   state.owners[shard] = ownerstate.Owner(
       shard,
       fence,
       state.now,
-      state.me.ended_kept_s,
+      state.me.ended_job_retention_s,
       left,
       state.evacuations,
   )
@@ -66,15 +68,15 @@
           follows=follows,
           endpoints_to_ask=len(left) if left is not None else "unknown",
       ),
-      keptevents.LoadKept(shard, fence),
+      keptevents.LoadKeptJobs(shard, fence),
   ]
 
 
-def stand_down(state, owner: ownerstate.Owner, why: str):
+def step_down(state, owner: ownerstate.Owner, why: str):
   """Gives up ownership at once; its coordinators wait for the next holder."""
-  for party in owner.heard:
-    owner.tell(party, linkmessages.Pong(holding=False))
-  owner.out(
+  for process in owner.last_contact:
+    owner.send_to_coordinator(process, linkmessages.Pong(holding=False))
+  owner.emit(
       events.log(
           "shard_lost",
           data_centre=owner.shard.data_centre,
@@ -83,7 +85,7 @@
           jobs=len(owner.jobs),
       )
   )
-  state.candidates[owner.shard].stood_down_from = owner.fence
+  state.candidates[owner.shard].stepped_down_fence = owner.fence
   # The last effects are taken by the caller, then nothing refers to it.
   state.owners.pop(owner.shard, None)
 
@@ -93,21 +95,23 @@
   owner = state.owners.get(shard)
   if owner is None:
     return []
-  stand_down(state, owner, why)
+  step_down(state, owner, why)
   return owner.take_effects()
 
 
-def holder_gone(state, shard, party: linkmessages.Party, grace_s: float):
+def mark_holder_stale(
+    state, shard, process: linkmessages.HostProcess, grace_s: float
+):
   """The process that the store names as holder surely isn't one any more."""
   candidate = state.candidates.get(shard)
   holder = candidate.holder if candidate else None
-  if holder is None or party == state.me.party:
+  if holder is None or process == state.me.process:
     return
-  if linkmessages.Party(holder.host, holder.boot) == party:
-    election.holder_gone(candidate, state.now, grace_s)
+  if linkmessages.HostProcess(holder.host, holder.boot) == process:
+    election.mark_holder_stale(candidate, state.now, grace_s)
 
 
-def holder_doubted(state, doubt: linkmessages.Doubt):
+def handle_suspected_holder(state, doubt: linkmessages.SuspectedHolder):
   """Enough hosts don't hear a holder: it is replaced, if this one doesn't."""
   candidate = state.candidates.get(doubt.shard)
   record = state.coordinator.holders.get(doubt.shard)
@@ -115,13 +119,13 @@
     return
   mine = doubt.shard in state.owners
   same = candidate.holder.fence == record.holder.fence == doubt.fence
-  if not same or mine or not election.may_doubt(candidate, state.now):
+  if not same or mine or not election.may_suspect(candidate, state.now):
     return
   if coordinator.silent(state.coordinator, record):
-    election.holder_gone(candidate, state.now)
+    election.mark_holder_stale(candidate, state.now)
 
 
-def hand_on(state) -> list:
+def hand_over_shards(state) -> list:
   """Releases the claims of shards that another host is better able to carry.
 
   The shards are served until the store says that the claims are gone.
@@ -129,9 +133,9 @@
   effects = []
   for shard, owner in state.owners.items():
     candidate = state.candidates[shard]
-    yields = state.now < candidate.yields_until
-    if not yields and handover.due(owner, state.me.cores):
-      candidate.yields_until = state.now + handover.YIELD_S
+    yields = state.now < candidate.yield_until
+    if not yields and handover.should_hand_over(owner, state.me.cores):
+      candidate.yield_until = state.now + handover.YIELD_S
       effects.append(events.ReleaseShard(shard, owner.fence))
   return effects
 
--- a/fescueturn/scheduler/state.py
+++ b/fescueturn/scheduler/state.py
@@ -11,39 +11,39 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Identity:
+class HostIdentity:
   """This host's process.
 
   Attributes:
     party: its name and boot.
     data_centre: where it stands.
     shards: the shards of its data centre.
-    ended_kept_s: how long kept jobs that are over stay known.
+    ended_job_retention_s: how long kept jobs that are over stay known.
     cores: how much processor it gets, in cores of the usual speed.
   """
 
-  party: linkmessages.Party
+  process: linkmessages.HostProcess
   data_centre: str
   shards: tuple[model.Shard, ...]
-  ended_kept_s: float = 0.0
-  cores: float = election.ROOMY_CORES
+  ended_job_retention_s: float = 0.0
+  cores: float = election.HOLDER_CORES
 
 
 class HostState:
   """The scheduler's state: coordinator, election, and shards owned."""
 
-  def __init__(self, me: Identity):
+  def __init__(self, me: HostIdentity):
     self.me = me
     self.now = 0.0
-    self.ticked_at: float | None = None
+    self.last_tick_at: float | None = None
     self.draining = False
     self.evacuations = evacuation.Evacuations()
     self.coordinator = coordinatorstate.Coordinator(
-        me.party, me.data_centre, self.evacuations
+        me.process, me.data_centre, self.evacuations
     )
-    self.coordinator.can_hold = me.cores >= election.ROOMY_CORES
+    self.coordinator.can_hold = me.cores >= election.HOLDER_CORES
     self.candidates = {
-        shard: election.Candidate(shard, me.party.host, me.cores)
+        shard: election.Candidate(shard, me.process.host, me.cores)
         for shard in me.shards
     }
     self.owners: dict[model.Shard, ownerstate.Owner] = {}
@@ -54,18 +54,21 @@
     return not self.coordinator.jobs
 
   @property
-  def busy(self) -> bool:
+  def needs_fast_ticks(self) -> bool:
     """True while something here waits for a time shorter than a ping's."""
     free = any(c.free_since is not None for c in self.candidates.values())
     return bool(
-        self.owners or self.draining or free or self.coordinator.hurried
+        self.owners
+        or self.draining
+        or free
+        or self.coordinator.has_timeout_soon
     )
 
   def snapshot(self) -> dict:
     """Returns a JSON-ready dump of the state."""
     return {
-        "host": self.me.party.host,
-        "boot": self.me.party.boot,
+        "host": self.me.process.host,
+        "boot": self.me.process.boot,
         "data_centre": self.me.data_centre,
         "draining": self.draining,
         "evacuations": self.evacuations.snapshot(self.now),
--- a/fescueturn/scheduler/progress.py
+++ b/fescueturn/scheduler/stragglers.py
@@ -9,9 +9,9 @@
 0.898 with it (mean of three seeds each).
 """
 
-from fescueturn.scheduler import ledger
-from fescueturn.scheduler import orders
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import ownerstate
+from fescueturn.scheduler import runcontrol
 
 # A run is stopped and begun anew elsewhere when what is left of it is so many times
 # what the new one takes: its estimate may be too low by 40%.
@@ -20,36 +20,40 @@
 MOVE_S = 0.06
 
 
-def note(
-    owner: ownerstate.Owner, record: ledger.EndpointRecord, run: ledger.Run
+def handle_progress(
+    owner: ownerstate.Owner,
+    record: endpointstate.EndpointRecord,
+    run: endpointstate.Run,
 ):
   """Takes a run's progress: what it says of its endpoint, and of its end."""
-  ratio = run.slowed(owner.now)
+  ratio = run.observed_slowdown(owner.now)
   if not ratio:
     return
-  if record.run_slowed(run, ratio):
+  if record.record_slow_run(run, ratio):
     owner.counters["endpoint_slow"] += 1
-    owner.out(
+    owner.emit(
         ownerstate.endpoint_log("endpoint_slow", record, times=round(ratio, 1))
     )
-  if run.state is ledger.RunState.RUNNING:
+  if run.state is endpointstate.RunState.RUNNING:
     _move(owner, record, run)
 
 
-def _move(owner, record, run: ledger.Run):
+def _move(owner, record, run: endpointstate.Run):
   """Stops a run that would end sooner if it began anew elsewhere."""
   job = owner.by_id.get(run.id.task.job_id)
   task = job.tasks.get(run.id.task) if job else None
   if task is None or task.run != run.id or task.moved_from or job.returning:
     return
-  left_s = run.foretold_s(owner.now) * (100 - run.percent) / 100
+  left_s = run.predicted_duration_s(owner.now) * (100 - run.percent) / 100
   if left_s < MOVE_GAIN * task.estimate_s + MOVE_S:
     return
-  if not owner.may_start or not orders.elsewhere(owner, job, task, record):
+  if not owner.may_start or not runcontrol.can_start_elsewhere(
+      owner, job, task, record
+  ):
     return
   task.moved_from = record.info.id
   owner.counters["run_moved"] += 1
-  owner.out(
+  owner.emit(
       ownerstate.run_log(
           "run_moved",
           record,
@@ -59,4 +63,4 @@
           estimate_ms=run.estimate_ms,
       )
   )
-  orders.stop(owner, record, run)
+  runcontrol.stop_run(owner, record, run)
--- a/fescueturn/scheduler/doubts.py
+++ b/fescueturn/scheduler/suspicion.py
@@ -17,23 +17,25 @@
 KEPT_S = 0.35
 
 
-class Doubts:
+class SuspicionTracker:
   """Who doubts which holder, and since when (s) each last said so."""
 
   def __init__(self):
-    self._told: dict[linkmessages.Doubt, dict[linkmessages.Party, float]] = {}
+    self._told: dict[
+        linkmessages.SuspectedHolder, dict[linkmessages.HostProcess, float]
+    ] = {}
 
-  def note(
+  def report(
       self,
-      party: linkmessages.Party,
-      doubts: tuple[linkmessages.Doubt, ...],
+      process: linkmessages.HostProcess,
+      doubts: tuple[linkmessages.SuspectedHolder, ...],
       now: float,
   ):
     """Takes the doubts that a host tells."""
     for doubt in doubts:
-      self._told.setdefault(doubt, {})[party] = now
+      self._told.setdefault(doubt, {})[process] = now
 
-  def agreed(self, now: float) -> tuple[linkmessages.Doubt, ...]:
+  def confirmed(self, now: float) -> tuple[linkmessages.SuspectedHolder, ...]:
     """Returns the doubts that enough hosts share."""
     for doubt, parties in list(self._told.items()):
       fresh = {p: at for p, at in parties.items() if now - at < KEPT_S}
--- a/fescueturn/scheduler/patience.py
+++ b/fescueturn/scheduler/timeouts.py
@@ -22,7 +22,7 @@
 _MISSES_TO_DOUBLE = 8
 
 
-class Patience:
+class AnswerTimeout:
   """The mean time that answers take, and how far they stray from it (s)."""
 
   def __init__(self):
@@ -31,13 +31,13 @@
     self._missed = 0
 
   @property
-  def limit_s(self) -> float:
+  def call_timeout_s(self) -> float:
     """How long to wait for an answer (s)."""
     wanted = max(MIN_S, self._mean_s + _DEVIATIONS * self._deviation_s)
     doubled = min(self._missed // _MISSES_TO_DOUBLE, 8)
     return min(MAX_S, wanted * 2**doubled)
 
-  def missed(self):
+  def record_miss(self):
     """Notes a call without an answer.
 
     How long it was waited for says nothing of how long answers take: counted as
@@ -45,7 +45,7 @@
     """
     self._missed += 1
 
-  def took(self, seconds: float):
+  def record_answer(self, seconds: float):
     """Notes how long an answer took."""
     self._missed = 0
     stray = abs(seconds - self._mean_s)
@@ -59,17 +59,17 @@
 _LOSS_GAIN = 1 / 64
 
 
-class Losses:
+class CallLossRate:
   """Which share of an owner's calls to endpoints is lost, of late."""
 
   def __init__(self):
     self._share = 0.0
 
   @property
-  def lossy(self) -> bool:
+  def is_lossy(self) -> bool:
     """True while so many calls are lost that each must be missed soon."""
     return self._share > LOSSY_SHARE
 
-  def note(self, lost: bool):
+  def record_call(self, lost: bool):
     """Notes what became of a call."""
     self._share += _LOSS_GAIN * (lost - self._share)
--- a/fescueturn/standins/control.py
+++ b/fescueturn/standins/control.py
@@ -22,7 +22,7 @@
     if response.status != 200:
       raise ValueError(f"{path}: {response.body.decode()}")
 
-  async def fault(self, mode: str, slow_ms: int = 0):
+  async def set_fault(self, mode: str, slow_ms: int = 0):
     """Has a fault last until the next one; "none" ends it."""
     await self._post("/test/fault", {"mode": mode, "slow_ms": slow_ms})
 
--- a/fescueturn/standins/kvstore.py
+++ b/fescueturn/standins/kvstore.py
@@ -98,14 +98,14 @@
     self._lease_ttl_s[lease] = ttl_s
     return lease
 
-  def keep(self, lease: int, now: float) -> bool:
+  def keep_alive(self, lease: int, now: float) -> bool:
     """Renews a lease; False if it has ended already."""
     if lease not in self._lease_ends:
       return False
     self._lease_ends[lease] = now + self._lease_ttl_s[lease]
     return True
 
-  def end(self, lease: int) -> bool:
+  def revoke(self, lease: int) -> bool:
     """Ends a lease and removes its keys; False if it has ended already."""
     self._lease_ttl_s.pop(lease, None)
     if self._lease_ends.pop(lease, None) is None:
@@ -119,7 +119,7 @@
     """Ends every lease past its time; returns how many ended."""
     over = [lease for lease, until in self._lease_ends.items() if until <= now]
     for lease in over:
-      self.end(lease)
+      self.revoke(lease)
     return len(over)
 
 
@@ -130,7 +130,7 @@
     self._lag_s = lag_s
     self._changes: list[tuple[float, kvtypes.Item]] = []
 
-  def note(self, now: float, item: kvtypes.Item):
+  def record_change(self, now: float, item: kvtypes.Item):
     """Takes a change under the prefix."""
     self._changes.append((now, item))
 
--- a/fescueturn/standins/standin_endpoint.py
+++ b/fescueturn/standins/standin_endpoint.py
@@ -21,7 +21,7 @@
 from fescueturn import kvtypes
 from fescueturn import settings
 from fescueturn import timer
-from fescueturn.standins import work
+from fescueturn.standins import taskkinds
 
 ENDPOINT_FAULTS = ("none", "fail_all", "refuse")
 
@@ -50,7 +50,7 @@
     self._open = 0
 
   @property
-  def record(self) -> kvtypes.HostRecord:
+  def host_record(self) -> kvtypes.HostRecord:
     """This endpoint as the platform's host list should show it."""
     return kvtypes.HostRecord(
         name=self._process.name,
@@ -63,7 +63,7 @@
 
   async def start(self):
     """Warms the dictionary, listens and joins the host list."""
-    work.warm_up()
+    taskkinds.warm_up()
     await self._server.start()
     await self._list()
     logger.info(
@@ -74,7 +74,7 @@
 
   async def _list(self):
     """Writes this endpoint's entry of the host list."""
-    puts = {self.record.key: self.record.encode()}
+    puts = {self.host_record.key: self.host_record.encode()}
     await self._kv.transact(kvtypes.Transaction(puts=puts))
 
   async def leave(self):
@@ -92,7 +92,7 @@
     while self._open:
       await curio.sleep(0.05)
     try:
-      removal = kvtypes.Transaction(removes=(self.record.key,))
+      removal = kvtypes.Transaction(removes=(self.host_record.key,))
       await self._kv.transact(removal)
     except errors.KvError as exc:
       logger.warning("event=unlist_failed error={!r}", exc)
@@ -131,7 +131,7 @@
   async def _task(self, request: httpio.Request) -> httpio.Response:
     try:
       body = request.json()
-      service, run = work.KINDS[body["kind"]]
+      service, run = taskkinds.KINDS[body["kind"]]
       key, payload, run_ms = body["key"], body["payload"], int(body["run_ms"])
     except (ValueError, KeyError, TypeError) as exc:
       return httpio.json_response(
--- a/fescueturn/standins/standin_platform.py
+++ b/fescueturn/standins/standin_platform.py
@@ -42,7 +42,7 @@
   def _record(self, item: kvtypes.Item):
     super()._record(item)
     if item.key.startswith(kvtypes.HOSTS_PREFIX):
-      self._hosts.note(self._now(), item)
+      self._hosts.record_change(self._now(), item)
 
   def range(self, prefix: str) -> list[kvtypes.Item]:
     """Returns the items under a prefix; those of hosts as they were."""
@@ -78,7 +78,7 @@
 
   async def _expire(self, now: float):
     if self._store.expire(now):
-      await self._wire.changed()
+      await self._wire.notify_watches()
 
   async def _handle(self, request: httpio.Request) -> httpio.Response:
     path = urllib.parse.urlsplit(request.target).path
@@ -101,7 +101,7 @@
       self._set_fault(body)
     else:
       return httpio.json_response(404, {"error": f"no path {path}"})
-    await self._wire.changed()
+    await self._wire.notify_watches()
     return httpio.json_response(200, {})
 
   def _stats(self) -> dict:
--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Parked:
+class ForwardedRequest:
   """A request passed on to another entry host, waiting for its reply."""
 
   waiter: Waiter
@@ -75,11 +75,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sent:
+class InFlightTask:
   """A task on its way: the endpoint it went to, and when."""
 
   endpoint: str
-  at: float
+  sent_at: float
 
 
 class JobRecord:
@@ -98,7 +98,7 @@
     self.conflicts = 0
     self.tasks = {t.task_id: t for t in job.tasks}
     self.answers: dict[str, messages.TaskAnswer] = {}
-    self.in_flight: dict[str, Sent] = {}
+    self.in_flight: dict[str, InFlightTask] = {}
     self.retries = 0
     self.final: messages.JobAnswer | None = None
 
@@ -142,7 +142,7 @@
     self.queue = placement.TaskQueue()
     self.teams: dict[str, TeamEntry] = {}
     self.jobs: dict[str, JobRecord] = {}
-    self.parked: dict[int, Parked] = {}
+    self.forwarded_requests: dict[int, ForwardedRequest] = {}
     self.dead: set[claims.Token] = set()
     self.counters: collections.Counter[str] = collections.Counter()
     self._numbers = itertools.count(1)
@@ -157,7 +157,7 @@
     """Returns a number higher than any returned before."""
     return next(self._numbers)
 
-  def at(self, when: float, callback: TimerCallback):
+  def sent_at(self, when: float, callback: TimerCallback):
     """Has `callback` called by the first tick at or after `when`."""
     heapq.heappush(self._timers, (when, self.next_number(), callback))
 
@@ -193,7 +193,7 @@
         "jobs_claiming": sum(r.phase is Phase.CLAIMING for r in in_flight),
         "jobs_kept": len(self.jobs),
         "claims_held": len(self.claims),
-        "parked_requests": len(self.parked),
+        "parked_requests": len(self.forwarded_requests),
         "queued_tasks": len(self.queue),
         "counters": dict(self.counters),
     }
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -24,7 +24,7 @@
   """A message on its way; `reply` is set on the way back."""
 
   source: str
-  effect: events.Ask | events.Tell
+  effect: events.SendPeerRequest | events.SendPeerNotice
   reply: claims.Reply | None = None
 
 
@@ -141,11 +141,13 @@
     if frozenset((letter.source, target)) in self.cut:
       self._lost(letter)
     elif letter.reply is not None:
-      self._back(letter.source, events.PeerReplied(letter.effect, letter.reply))
+      self._back(
+          letter.source, events.PeerReplyReceived(letter.effect, letter.reply)
+      )
     elif self._runs(letter.effect.member):
       self._hand_over(letter)
-    elif isinstance(letter.effect, events.Ask):
-      event = events.PeerReplied(letter.effect, None, dead=True)
+    elif isinstance(letter.effect, events.SendPeerRequest):
+      event = events.PeerReplyReceived(letter.effect, None, dead=True)
       self._back(letter.source, event)
 
   def finish_task(self, index, code=codes.Code.TASK_DONE):
@@ -168,13 +170,13 @@
   def _hand_over(self, letter):
     number = next(self._ids)
     name = letter.effect.member.name
-    if isinstance(letter.effect, events.Ask):
+    if isinstance(letter.effect, events.SendPeerRequest):
       self.asked[number] = letter
-    self._apply(name, events.PeerAsked(number, letter.effect.message))
+    self._apply(name, events.PeerRequestReceived(number, letter.effect.message))
 
   def _lost(self, letter):
-    if isinstance(letter.effect, events.Ask):
-      self._back(letter.source, events.PeerReplied(letter.effect, None))
+    if isinstance(letter.effect, events.SendPeerRequest):
+      self._back(letter.source, events.PeerReplyReceived(letter.effect, None))
 
   def _back(self, name, event):
     if name in self.hosts:
@@ -183,9 +185,9 @@
   def _apply(self, name, event):
     state = self.hosts[name]
     for effect in reducer.reduce(state, event, self.now):
-      if isinstance(effect, (events.Ask, events.Tell)):
+      if isinstance(effect, (events.SendPeerRequest, events.SendPeerNotice)):
         self.letters.append(Letter(name, effect))
-      elif isinstance(effect, (events.PeerAnswer, events.Settle)):
+      elif isinstance(effect, (events.SendPeerReply, events.SendOutcome)):
         self._answered(effect)
       elif isinstance(effect, events.SendTask):
         self.starts[effect.downstream_key] += 1
--- a/tests/fakeplatform.py
+++ b/tests/fakeplatform.py
@@ -59,9 +59,9 @@
     model.CallResult.LATE: "late",
 }
 _HOW = {
-    model.EndHow.DONE: "done",
-    model.EndHow.FAILED: "failed",
-    model.EndHow.LOST: "stopped",
+    model.RunOutcome.DONE: "done",
+    model.RunOutcome.FAILED: "failed",
+    model.RunOutcome.LOST: "stopped",
 }
 
 
@@ -141,8 +141,8 @@
 
 def _work(specs, task):
   spec = specs[task]
-  need = model.Room(spec.get("cpu", 27000), 64, 0)
-  return endpoint_lib.Work(need, spec["run_s"], spec.get("fails", False))
+  need = model.Resources(spec.get("cpu", 27000), 64, 0)
+  return endpoint_lib.TaskProfile(need, spec["run_s"], spec.get("fails", False))
 
 
 async def main(store_port: int, endpoint_port: int, count: int, zones: list):
@@ -169,7 +169,7 @@
     if request.target == "/test/put":
       body = request.json()
       store.put(body["key"], json.dumps(body["value"]).encode())
-      await wire.changed()
+      await wire.notify_watches()
       return httpio.json_response(200, {})
     return await wire.handle(request)
 
@@ -184,7 +184,7 @@
         zone,
         8,
         False,
-        model.Room(64000, 131072, 0),
+        model.Resources(64000, 131072, 0),
     )
     endpoint = endpoint_lib.EmulatedEndpoint(
         info, clock, functools.partial(_work, specs), broken, alive, noted
@@ -209,7 +209,7 @@
   while True:
     await curio.sleep(0.05)
     if store.expire(time.monotonic()):
-      await wire.changed()
+      await wire.notify_watches()
 
 
 if __name__ == "__main__":
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -4,7 +4,7 @@
 from fescueturn.emulator import hosts as hosts_lib
 from fescueturn.scheduler import model
 
-NEED = model.Room(27000, 64, 0)
+NEED = model.Resources(27000, 64, 0)
 ZONES = ("a", "b", "c")
 
 
@@ -35,7 +35,7 @@
   return owners[0]
 
 
-def other_than(made, owner) -> hosts_lib.EmulatedHost:
+def other_host(made, owner) -> hosts_lib.EmulatedHost:
   return next(
       h
       for h in made.hosts.values()
@@ -43,7 +43,7 @@
   )
 
 
-def load(made, hosts, seconds: float, per_s: float, prefix: str = "j"):
+def submit_load(made, hosts, seconds: float, per_s: float, prefix: str = "j"):
   """Hands in the sheets' mix of jobs at `hosts`, `per_s` in all."""
   kinds = ((17, 8, 60), (3, 4, 900), (50, 2, 200))
   requests = []
@@ -63,7 +63,7 @@
   return requests
 
 
-def outcomes(made, requests) -> dict[model.Outcome, int]:
+def count_outcomes(made, requests) -> dict[model.Outcome, int]:
   found = {}
   for request in requests:
     outcome = made.answers[request].answer.outcome
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,7 +4,7 @@
 from fescueturn.scheduler import model
 from fescueturn.scheduler import routes
 
-NEED = model.Room(27000, 64, 0)
+NEED = model.Resources(27000, 64, 0)
 
 
 def job(*steps: model.Step) -> model.Job:
@@ -17,12 +17,12 @@
       model.Step(1, NEED, 300),
       model.Step(1, NEED, 200, (0, 1)),
   )
-  assert admission.chain_s(job(*steps), 56) == pytest.approx(0.5)
+  assert admission.critical_path_s(job(*steps), 56) == pytest.approx(0.5)
 
 
 def test_wide_step_is_expected_to_run_in_waves():
   wide = job(model.Step(20, NEED, 60))
-  assert admission.chain_s(wide, 56) == pytest.approx(0.12)
+  assert admission.critical_path_s(wide, 56) == pytest.approx(0.12)
   assert admission.objective_s(wide, 56) == pytest.approx(0.252)
 
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -24,7 +24,7 @@
 
 
 def crashes(made: fleet_lib.Fleet) -> int:
-  return sum(endpoint.reborn for endpoint in made.endpoints.values())
+  return sum(endpoint.superseded for endpoint in made.endpoints.values())
 
 
 def hand_in(made, host: str, name: str, crash_s: float | None, is_kept=True):
@@ -38,7 +38,7 @@
   made = fleets.fleet()
   hand_in(made, "a0", "bad", crash_s)
   made.clock.run_until(20)
-  assert made.kept.states["bad"] is model.KeptState.FAILED
+  assert made.kept_store.states["bad"] is model.KeptJobState.FAILED
   assert starts_of(made, "bad") <= MOST_STARTS
   assert crashes(made) <= MOST_STARTS
   assert made.broken == []
@@ -86,24 +86,24 @@
         made.clock.after(4.0, lambda e=endpoint: setattr(e, "dark", False))
     made.clock.run_until(made.clock.now + 1.2)
   made.clock.run_until(30)
-  assert made.kept.states["good"] is model.KeptState.DONE
+  assert made.kept_store.states["good"] is model.KeptJobState.DONE
   assert made.broken == []
 
 
 def test_job_whose_endpoint_crashed_under_another_task_is_done():
   made = fleets.fleet(seed=3)
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 8, 10)
+  requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 8, 10)
   for number in range(3):
     made.clock.at(
         2.0 + number,
         lambda n=number: hand_in(made, "a0", f"bad{n}", 0.05),
     )
   made.clock.run_until(25)
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found.get(model.Outcome.FAILED, 0) == 0
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
   for number in range(3):
-    assert made.kept.states[f"bad{number}"] is model.KeptState.FAILED
+    assert made.kept_store.states[f"bad{number}"] is model.KeptJobState.FAILED
     assert starts_of(made, f"bad{number}") <= MOST_STARTS
   assert made.broken == []
 
@@ -116,7 +116,7 @@
   (record,) = [r for r in owner.endpoints.values() if r.runs][:1]
   made.drain(record.info.id)
   made.clock.run_until(2.2)
-  assert not owner.lost_under
+  assert not owner.suspected_crashes
 
 
 def test_losses_survive_in_the_store():
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -12,12 +12,12 @@
 
 def candidate(holder=HOLDER):
   made = election.Candidate(SHARD, "host-1")
-  election.holder_changed(made, holder, 0.0)
+  election.handle_holder_change(made, holder, 0.0)
   return made
 
 
-def decide(made, now, held_by_me=False, draining=False, heard=False):
-  return election.decide(made, now, held_by_me, draining, heard)
+def decide(made, now, is_owner=False, draining=False, holder_alive=False):
+  return election.decide(made, now, is_owner, draining, holder_alive)
 
 
 def test_held_shard_is_left_alone():
@@ -26,40 +26,40 @@
 
 def test_shard_whose_claim_ended_is_claimed_anew():
   made = candidate()
-  election.holder_changed(made, None, 10.0)
+  election.handle_holder_change(made, None, 10.0)
   assert decide(made, 10.1) == events.ClaimShard(SHARD, 0, 7)
   assert decide(made, 10.2) is None, "one claim at a time"
-  election.claim_answered(made, 10.2)
+  election.handle_claim_answer(made, 10.2)
   assert decide(made, 10.3) is None
   assert decide(made, 10.6) is not None
 
 
 def test_claim_of_a_gone_process_is_replaced_by_its_fence():
   made = candidate()
-  election.holder_gone(made, 10.0)
+  election.mark_holder_stale(made, 10.0)
   assert decide(made, 10.1) == events.ClaimShard(SHARD, 7, 7)
 
 
 def test_claim_that_names_no_holder_is_replaced():
   made = candidate()
-  election.holder_changed(made, None, 10.0, blank=9)
+  election.handle_holder_change(made, None, 10.0, unreadable_revision=9)
   assert decide(made, 10.1) == events.ClaimShard(SHARD, 9, 7)
 
 
 def test_holder_heard_from_again_is_not_replaced():
   made = candidate()
-  election.holder_gone(made, 10.0, grace_s=0.1)
+  election.mark_holder_stale(made, 10.0, grace_s=0.1)
   assert decide(made, 10.05) is None
-  election.holder_present(made)
+  election.mark_holder_alive(made)
   assert decide(made, 20.0) is None
 
 
 def test_living_holder_claims_first_and_a_stopping_host_last():
   made = candidate()
-  election.holder_changed(made, None, 10.0)
-  assert decide(made, 10.5, heard=True) is None
+  election.handle_holder_change(made, None, 10.0)
+  assert decide(made, 10.5, holder_alive=True) is None
   assert decide(made, 10.5, draining=True) is None
-  assert decide(made, 10.0, held_by_me=True) is not None
+  assert decide(made, 10.0, is_owner=True) is not None
 
 
 def test_nothing_is_claimed_before_the_store_was_read():
@@ -69,16 +69,16 @@
 
 def test_newcomer_waits_longer():
   made = election.Candidate(SHARD, "host-1")
-  election.holder_changed(made, None, 10.0)
+  election.handle_holder_change(made, None, 10.0)
   assert decide(made, 10.2) is None
   assert decide(made, 10.4) is not None
 
 
 def claim_delay(cores: float, host: str) -> float:
   made = election.Candidate(SHARD, host, cores)
-  election.holder_changed(made, HOLDER, 0.0)
-  election.holder_changed(made, None, 0.0)
-  return made.delay_s(held_by_me=False, draining=False, heard=False)
+  election.handle_holder_change(made, HOLDER, 0.0)
+  election.handle_holder_change(made, None, 0.0)
+  return made.delay_s(is_owner=False, draining=False, holder_alive=False)
 
 
 def test_small_host_claims_after_every_host_that_can_carry_the_shard():
@@ -98,14 +98,14 @@
 def test_young_claim_is_not_doubted_and_less_so_the_more_changes_there_were():
   """A holder that takes over a thousand endpoints must not lose them half way."""
   made = election.Candidate(SHARD, "host-1")
-  election.holder_changed(made, HOLDER, 100.0)
-  assert not election.may_doubt(made, 102.9)
-  assert election.may_doubt(made, 103.1)
+  election.handle_holder_change(made, HOLDER, 100.0)
+  assert not election.may_suspect(made, 102.9)
+  assert election.may_suspect(made, 103.1)
   for number in range(1, 6):
     holder = dataclasses.replace(HOLDER, fence=HOLDER.fence + number)
-    election.holder_changed(made, holder, 100.0 + number)
-  assert not election.may_doubt(made, 128.9)
-  assert election.may_doubt(made, 129.1)
+    election.handle_holder_change(made, holder, 100.0 + number)
+  assert not election.may_suspect(made, 128.9)
+  assert election.may_suspect(made, 129.1)
   quiet = dataclasses.replace(HOLDER, fence=HOLDER.fence + 9)
-  election.holder_changed(made, quiet, 200.0)
-  assert election.may_doubt(made, 203.1)
+  election.handle_holder_change(made, quiet, 200.0)
+  assert election.may_suspect(made, 203.1)
--- a/tests/test_ledger.py
+++ b/tests/test_endpointstate.py
@@ -6,28 +6,28 @@
 from hypothesis import strategies
 
 from fescueturn import settings
-from fescueturn.scheduler import ledger
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import model
 
-NEED = model.Room(27000, 64, 0)
+NEED = model.Resources(27000, 64, 0)
 SLOTS = 8
 
 
 def endpoint(cpu: int) -> model.Endpoint:
   address = settings.Address("e", 1)
-  room = model.Room(cpu, 131072, 0)
+  room = model.Resources(cpu, 131072, 0)
   return model.Endpoint("e", address, "s", "a", SLOTS, False, room)
 
 
-def run(number: int, need=NEED) -> ledger.Run:
+def run(number: int, need=NEED) -> endpointstate.Run:
   task = model.Task("j", 0, number)
-  return ledger.Run(
-      model.RunId(task, 1), need, ledger.RunState.ORDERED, 0.0, 100
+  return endpointstate.Run(
+      model.RunId(task, 1), need, endpointstate.RunState.ORDERED, 0.0, 100
   )
 
 
 def test_endpoint_that_shrank_takes_nothing_until_its_runs_fit():
-  record = ledger.EndpointRecord(endpoint(96000), 0.0)
+  record = endpointstate.EndpointRecord(endpoint(96000), 0.0)
   runs = [run(number) for number in range(3)]
   for ordered in runs:
     record.add(ordered)
@@ -40,7 +40,7 @@
 
 
 def test_endpoint_that_grew_takes_more_than_it_first_could():
-  record = ledger.EndpointRecord(endpoint(27000), 0.0)
+  record = endpointstate.EndpointRecord(endpoint(27000), 0.0)
   record.add(run(0))
   assert not record.fits(NEED)
   record.update(endpoint(108000))
@@ -67,7 +67,7 @@
 @hypothesis.given(STEPS)
 def test_no_start_goes_beyond_the_capacity_told_last(steps):
   """Stops under way and orders without an answer keep their room."""
-  record = ledger.EndpointRecord(endpoint(64000), 0.0)
+  record = endpointstate.EndpointRecord(endpoint(64000), 0.0)
   taken: dict[model.RunId, int] = {}
   for number, (what, amount) in enumerate(steps):
     runs = list(record.runs.values())
@@ -91,7 +91,7 @@
       taken.pop(ended)
     elif runs:
       states = {
-          "stop": ledger.RunState.STOPPING,
-          "unsure": ledger.RunState.UNSURE,
+          "stop": endpointstate.RunState.STOPPING,
+          "unsure": endpointstate.RunState.UNSURE,
       }
       runs[amount % len(runs)].state = states[what]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -35,7 +35,7 @@
 
 
 def pools(lab):
-  return [httpio.Pool(lab.procs[n].listen) for n in lab.names("entry")]
+  return [httpio.Pool(lab.daemons[n].listen) for n in lab.names("entry")]
 
 
 async def starts_by_key(lab):
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -60,7 +60,7 @@
 
 
 def pool(lab, name):
-  return httpio.Pool(lab.procs[name].listen)
+  return httpio.Pool(lab.daemons[name].listen)
 
 
 async def stats(lab, name):
@@ -114,13 +114,13 @@
 def test_platform_down_entry_hosts_keep_serving(cluster):
   async def go():
     kv = control.PlatformControl(cluster.platform)
-    await kv.fault("down")
+    await kv.set_fault("down")
     await curio.sleep(1.0)
     results = [
         await caller.submit(pool(cluster, n), job(f"down-{n}", run_ms=100))
         for n in cluster.names("entry")
     ]
-    await kv.fault("none")
+    await kv.set_fault("none")
     await kv.close()
     return results
 
@@ -178,11 +178,11 @@
       await teamconfig.put(
           kv, "altamaha", text.replace("15000", "8000"), current.revision
       )
-    await steering.fault("lose_reply")
+    await steering.set_fault("lose_reply")
     lost = await teamconfig.put(
         kv, "altamaha", text.replace("15000", "7000"), first
     )
-    await steering.fault("none")
+    await steering.set_fault("none")
     stored = await teamconfig.get(kv, "altamaha")
     await kv.close()
     await steering.close()
@@ -284,14 +284,14 @@
   async def go():
     kv = control.PlatformControl(cluster.platform)
     done = await caller.submit(pool(cluster, "entry-1"), release_job("o", 100))
-    await kv.fault("down")
+    await kv.set_fault("down")
     await curio.sleep(4.0)  # Every lease lapses by its holder's clock.
     cluster.signal("entry-1", signal.SIGKILL)
     cluster.wait("entry-1")
     entry2 = pool(cluster, "entry-2")
     again = await caller.submit(entry2, release_job("o", 100))
     new = await caller.submit(entry2, job("outage-new", run_ms=100))
-    await kv.fault("none")
+    await kv.set_fault("none")
     cluster.spawn("entry-1")
     await cluster.wait_entry_ready("entry-1")
     after = await caller.submit(pool(cluster, "entry-1"), release_job("o", 100))
--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fescueturn.scheduler import keeping
 from fescueturn.scheduler import keptevents
+from fescueturn.scheduler import keptrecords
 from fescueturn.scheduler import model
 from tests import fleets
 from tests import test_evacuation
@@ -20,7 +20,9 @@
 
 
 def all_done(made, names) -> bool:
-  return all(made.kept.states[name] is model.KeptState.DONE for name in names)
+  return all(
+      made.kept_store.states[name] is model.KeptJobState.DONE for name in names
+  )
 
 
 def test_job_with_a_step_to_come_moves_with_what_is_done_of_it():
@@ -42,9 +44,9 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_holder_that_dies_half_way_loses_no_job_and_runs_none_twice(seed):
   made = fleets.fleet(seed=seed)
-  made.store_loses, made.store_late = 0.1, 0.1
+  made.store_reply_loss_rate, made.store_late_write_rate = 0.1, 0.1
   asked = test_kept_jobs.load(
-      made, test_kept_jobs.everywhere(made), 4.0, 20, "k"
+      made, test_kept_jobs.all_hosts(made), 4.0, 20, "k"
   )
   made.clock.at(2.5, lambda: made.evacuate("a"))
   moment = 2.5 + made.rng.uniform(0.01, 0.4)
@@ -53,7 +55,7 @@
   before = test_evacuation.starts_in(made, "a")
   made.clock.run_until(30.0)
   assert test_evacuation.starts_in(made, "a") == before
-  test_kept_jobs.assert_promises_kept(made, asked)
+  test_kept_jobs.assert_guarantees_hold(made, asked)
   assert made.broken == []
 
 
@@ -62,16 +64,16 @@
   """Data centres are evacuated one after the other, and taken back at once."""
   made = fleets.fleet(seed=seed)
   asked = test_kept_jobs.load(
-      made, test_kept_jobs.everywhere(made), 10.0, 15, "k"
+      made, test_kept_jobs.all_hosts(made), 10.0, 15, "k"
   )
   test_random_faults.Faults(made, seed).plan()
   for number, zone in enumerate("abcabc"):
-    begin = 1.5 + 1.7 * number
-    made.clock.at(begin, lambda zone=zone: made.evacuate(zone))
-    end = begin + made.rng.uniform(0.1, 2.5)
+    mark_loaded = 1.5 + 1.7 * number
+    made.clock.at(mark_loaded, lambda zone=zone: made.evacuate(zone))
+    end = mark_loaded + made.rng.uniform(0.1, 2.5)
     made.clock.at(end, lambda zone=zone: made.evacuate(zone, wanted=False))
   made.clock.run_until(60.0)
-  test_kept_jobs.assert_promises_kept(made, asked)
+  test_kept_jobs.assert_guarantees_hold(made, asked)
   assert made.broken == []
 
 
@@ -82,7 +84,7 @@
   for zone in fleets.ZONES:
     made.evacuate(zone)
   made.clock.run_until(4.0)
-  assert made.kept.states["j"] is model.KeptState.OPEN
+  assert made.kept_store.states["j"] is model.KeptJobState.OPEN
   made.evacuate("a", wanted=False)
   made.clock.run_until(8.0)
   assert all_done(made, ["j"])
@@ -90,13 +92,13 @@
 
 
 def test_write_has_no_more_rows_than_the_store_takes():
-  keeper = keeping.Keeper()
-  keeper.begin(keptevents.KeptLoaded(test_kept_jobs.SHARD, 7))
+  kept_records = keptrecords.KeptRecords()
+  kept_records.mark_loaded(keptevents.KeptJobsLoaded(test_kept_jobs.SHARD, 7))
   for number in range(20):
     kept = model.KeptJob(two_steps(f"j{number}"), model.Progress())
     move = keptevents.MoveJob(kept, model.Shard("b"))
-    keeper.moving[kept.job.id] = move
-  write = keeper.next_write(
+    kept_records.moving[kept.job.id] = move
+  write = kept_records.next_write(
       test_kept_jobs.SHARD, 7, 1.0, lambda job_id: model.Progress()
   )
   # Its own head and claim take three rows, a move five.
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -15,14 +15,14 @@
 
 def test_story_is_found_by_request_and_by_job_in_order_of_time():
   lines = LOG.splitlines()
-  by_request = explain.story(reversed(lines), "q7")
+  by_request = explain.request_timeline(reversed(lines), "q7")
   assert [line.event for line in by_request] == [
       "job_offered",
       "job_declined",
       "holder_lost",
       "job_answered",
   ]
-  assert explain.story(lines, "b3") == by_request
+  assert explain.request_timeline(lines, "b3") == by_request
 
 
 def test_command_tells_it_in_words(tmp_path):
@@ -39,4 +39,4 @@
 
 def test_field_that_is_missing_does_not_hide_the_line():
   line = explain.parse("ts=1 proc=x event=job_declined job=b3")
-  assert line.says().startswith("declined: no room")
+  assert line.describe().startswith("declined: no room")
--- a/tests/test_figures.py
+++ b/tests/test_hostmetrics.py
@@ -1,14 +1,14 @@
 import statsd
 
-from fescueturn.scheduler import figures
+from fescueturn.scheduler import hostmetrics
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 from fescueturn.scheduler import state
 
 
 def new_state() -> state.HostState:
-  party = linkmessages.Party("host-1", "boot-1")
-  return state.HostState(state.Identity(party, "a", (model.Shard("a"),)))
+  process = linkmessages.HostProcess("host-1", "boot-1")
+  return state.HostState(state.HostIdentity(process, "a", (model.Shard("a"),)))
 
 
 class Collector(statsd.StatsClient):
@@ -23,10 +23,10 @@
 
 def test_page_and_collector_have_the_same_jobs_and_calls():
   collector = Collector()
-  made = figures.Figures(new_state(), collector)
-  made.job("word-check", "done", 0.25)
-  made.call("store_kv-txn", "200", 0.004)
-  page = made.page().decode()
+  made = hostmetrics.HostMetrics(new_state(), collector)
+  made.observe_job("word-check", "done", 0.25)
+  made.observe_call("store_kv-txn", "200", 0.004)
+  page = made.render().decode()
   assert 'job_seconds_sum{outcome="done",queue="word-check"} 0.25' in page
   assert collector.told == [
       ("job_ms.done", 250.0),
@@ -35,12 +35,12 @@
 
 
 def test_page_says_how_long_ago_the_store_told_the_configuration():
-  made = figures.Figures(new_state())
-  made.config_unheard(lambda: 2.5)
-  assert b"fescueturn_config_unheard_seconds 2.5" in made.page()
+  made = hostmetrics.HostMetrics(new_state())
+  made.set_config_age(lambda: 2.5)
+  assert b"fescueturn_config_unheard_seconds 2.5" in made.render()
 
 
 def test_page_needs_no_collector():
-  made = figures.Figures(new_state())
-  made.job("word-check", "done", 0.25)
-  assert b"fescueturn_jobs_coordinated 0.0" in made.page()
+  made = hostmetrics.HostMetrics(new_state())
+  made.observe_job("word-check", "done", 0.25)
+  assert b"fescueturn_jobs_coordinated 0.0" in made.render()
--- a/tests/test_httpio.py
+++ b/tests/test_httpio.py
@@ -19,7 +19,7 @@
   address = ports.free_address()
 
   async def closing(request):
-    return httpio.closing(await hello(request))
+    return httpio.with_connection_close(await hello(request))
 
   async def go():
     server = httpio.Server(address, closing)
--- a/tests/test_kvstore.py
+++ b/tests/test_kvstore.py
@@ -39,12 +39,12 @@
   store = kvstore.KvStore()
   lease = store.grant(1.0, now=10.0)
   store.put("/m/x", b"addr", lease)
-  assert store.keep(lease, now=10.5)
+  assert store.keep_alive(lease, now=10.5)
   assert store.expire(now=11.4) == 0
   assert store.expire(now=11.6) == 1
   assert store.get("/m/x") is None
   assert store.changes("/m/", 0)[-1].value is None
-  assert not store.keep(lease, now=11.7)
+  assert not store.keep_alive(lease, now=11.7)
   with pytest.raises(kvtypes.LeaseGoneError):
     store.put("/m/y", b"addr", lease)
 
@@ -62,9 +62,9 @@
   hosts = kvstore.LaggingList(lag_s=2.0)
   here = kvtypes.HostRecord("e1", "a:1", "dc")
   leaving = kvtypes.HostRecord("e1", "a:1", "dc", leaving=True)
-  hosts.note(0.0, kvtypes.Item(here.key, 1, here.encode()))
-  hosts.note(5.0, kvtypes.Item(here.key, 2, leaving.encode()))
-  hosts.note(9.0, kvtypes.Item(here.key, 3, None))
+  hosts.record_change(0.0, kvtypes.Item(here.key, 1, here.encode()))
+  hosts.record_change(5.0, kvtypes.Item(here.key, 2, leaving.encode()))
+  hosts.record_change(9.0, kvtypes.Item(here.key, 3, None))
 
   def seen(now):
     return [kvtypes.decode_host(item.value) for item in hosts.view(now)]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,15 +1,15 @@
 """An owner's calls to endpoints: lost, in vain, or to a life that is over."""
 
 from fescueturn import settings
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import events
 from fescueturn.scheduler import leases
-from fescueturn.scheduler import ledger
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 from fescueturn.scheduler import offers
-from fescueturn.scheduler import orders
 from fescueturn.scheduler import owner as owner_lib
 from fescueturn.scheduler import ownerstate
+from fescueturn.scheduler import runcontrol
 
 SHARD = model.Shard("north")
 ENDPOINT = model.Endpoint(
@@ -19,16 +19,16 @@
     "north",
     8,
     False,
-    model.Room(64000, 131072, 0),
+    model.Resources(64000, 131072, 0),
 )
 
-PARTY = linkmessages.Party("host-1", "boot-1")
+PARTY = linkmessages.HostProcess("host-1", "boot-1")
 JOB_KEY = linkmessages.JobKey(PARTY, "j")
 JOB = model.Job(
     "j",
     "speller",
     "spec",
-    (model.Step(1, model.Room(27000, 64, 0), 200),),
+    (model.Step(1, model.Resources(27000, 64, 0), 200),),
     3,
     1.6,
     2000,
@@ -37,7 +37,7 @@
 
 def new_owner() -> ownerstate.Owner:
   """Returns an owner that has nothing to learn from the store."""
-  return ownerstate.Owner(SHARD, 7, 0.0, left=frozenset())
+  return ownerstate.Owner(SHARD, 7, 0.0, previous_roster=frozenset())
 
 
 def calls_in(
@@ -49,12 +49,12 @@
   for number in range(int(seconds / step)):
     owner.now = number * step
     if number % 35 == 0:
-      leases.endpoints_listed(owner, (endpoint,))
+      leases.handle_endpoint_list(owner, (endpoint,))
     owner_lib.tick(owner)
     for effect in owner.take_effects():
       if isinstance(effect, events.RenewLease):
         called.append(owner.now)
-        leases.lease_answered(
+        leases.handle_lease_answer(
             owner,
             events.LeaseAnswered(endpoint.id, effect.number, result, None),
         )
@@ -74,7 +74,7 @@
 def ordered(owner, record):
   """Returns a run that was ordered for a job that waits."""
   offer = linkmessages.Offered(SHARD, JOB_KEY, JOB, 0.0, 5.0)
-  offers.offered(owner, offer)
+  offers.handle_offer(owner, offer)
   (run,) = record.runs.values()
   owner.take_effects()
   return run
@@ -82,7 +82,7 @@
 
 def known_endpoint(owner, now=0.0):
   owner.now = now
-  leases.endpoints_listed(owner, (ENDPOINT,))
+  leases.handle_endpoint_list(owner, (ENDPOINT,))
   record = owner.endpoints[ENDPOINT.id]
   answer(owner, record, now)
   return record
@@ -91,7 +91,7 @@
 def answer(owner, record, now, result=model.CallResult.OK, **lists):
   owner.now = now
   clock_ms = 1000 + int(now * 1000) if result is model.CallResult.OK else None
-  leases.lease_answered(
+  leases.handle_lease_answer(
       owner,
       events.LeaseAnswered(
           ENDPOINT.id, record.call_number, result, clock_ms, **lists
@@ -102,7 +102,7 @@
 def start_lost(owner, run, now):
   owner.now = now
   lost = model.CallResult.NO_ANSWER
-  leases.start_answered(
+  leases.handle_start_answer(
       owner, events.StartAnswered(ENDPOINT.id, run.id, lost, None)
   )
   return owner.take_effects()
@@ -126,14 +126,14 @@
   owner = new_owner()
   record = known_endpoint(owner)
   run = ordered(owner, record)
-  for number in range(1, orders.MOST_SENDS):
+  for number in range(1, runcontrol.MAX_SENDS):
     effects = start_lost(owner, run, 0.025 * number)
     assert any(isinstance(e, events.StartRun) for e in effects)
   effects = start_lost(owner, run, 0.1)
   assert not any(isinstance(e, events.StartRun) for e in effects)
   assert any(isinstance(e, events.StopRun) for e in effects)
-  assert run.state is ledger.RunState.UNSURE
-  assert not record.fits(model.Room(64000, 1, 0)), "it keeps its room"
+  assert run.state is endpointstate.RunState.UNSURE
+  assert not record.fits(model.Resources(64000, 1, 0)), "it keeps its room"
 
 
 def test_order_sent_again_whose_run_is_over_is_not_run_anew():
@@ -143,19 +143,22 @@
   run = ordered(owner, record)
   start_lost(owner, run, 0.025)
   old = model.CallResult.OLD_ATTEMPT
-  leases.start_answered(
+  leases.handle_start_answer(
       owner, events.StartAnswered(ENDPOINT.id, run.id, old, 1050)
   )
   answer(owner, record, 0.03)
   owner.take_effects()
   answer(
-      owner, record, 0.05, ended=(model.Ended(1, run.id, model.EndHow.DONE),)
+      owner,
+      record,
+      0.05,
+      ended=(model.EndedRun(1, run.id, model.RunOutcome.DONE),),
   )
   effects = owner.take_effects()
   ended = [
       e.message
       for e in effects
-      if isinstance(e, events.TellCoordinator)
+      if isinstance(e, events.SendToCoordinator)
       and isinstance(e.message, linkmessages.JobEnded)
   ]
   assert [e.outcome for e in ended] == [model.Outcome.DONE]
--- a/tests/test_linkcodec.py
+++ b/tests/test_linkcodec.py
@@ -5,10 +5,10 @@
 from fescueturn.scheduler import linkmessages
 from fescueturn.scheduler import model
 
-PARTY = linkmessages.Party("host-1", "boot-1")
+PARTY = linkmessages.HostProcess("host-1", "boot-1")
 SHARD = model.Shard("north", 2)
 KEY = linkmessages.JobKey(PARTY, "00000000000000a1")
-NEED = model.Room(27000, 64, 1)
+NEED = model.Resources(27000, 64, 1)
 JOB = model.Job(
     KEY.job_id,
     "speller",
@@ -31,9 +31,14 @@
     linkmessages.Ping(SHARD, PARTY, 12.5, 7),
     linkmessages.Ping(SHARD, PARTY, 12.5, 7, can_hold=True),
     linkmessages.Ping(
-        SHARD, PARTY, 12.5, doubts=(linkmessages.Doubt(SHARD, 2**40),)
+        SHARD,
+        PARTY,
+        12.5,
+        suspects=(linkmessages.SuspectedHolder(SHARD, 2**40),),
+    ),
+    linkmessages.Pong(
+        confirmed_suspects=(linkmessages.SuspectedHolder(SHARD, 7),)
     ),
-    linkmessages.Pong(agreed=(linkmessages.Doubt(SHARD, 7),)),
     linkmessages.Returned(KEY, 4, True),
     linkmessages.Returned(KEY, 5, False),
     linkmessages.Offered(SHARD, KEY, JOB, 0.25, 1.5, True, 7),
@@ -48,9 +53,12 @@
     linkmessages.Declined(KEY, 4, 95, in_time=True),
     linkmessages.Pong(pending=(("q1", 3), ("q2", 1))),
     linkmessages.Declined(KEY, 4, 95, reason="store_away"),
-    keptevents.Asked(SHARD, PARTY, KEY.job_id, True),
-    keptevents.Told(KEY.job_id, True, None),
-    *(keptevents.Told(KEY.job_id, False, s) for s in model.KeptState),
+    keptevents.KeptJobQuery(SHARD, PARTY, KEY.job_id, True),
+    keptevents.KeptJobReply(KEY.job_id, True, None),
+    *(
+        keptevents.KeptJobReply(KEY.job_id, False, s)
+        for s in model.KeptJobState
+    ),
     *(linkmessages.JobEnded(KEY, o, "why") for o in model.Outcome),
 ]
 
@@ -63,5 +71,5 @@
 
 @pytest.mark.parametrize("data", [b"", b"\x00" * 4, b"\xff" * 64])
 def test_bytes_that_are_no_message_are_refused(data):
-  with pytest.raises(linkcodec.MalformedError):
+  with pytest.raises(linkcodec.MalformedMessageError):
     linkcodec.decode(data, PARTY)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,14 +17,14 @@
   Before, a job waited in its own data centre while others had places: 15.2 of
   1,500 jobs were late (mean of six seeds of 20 s), 3.7 after.
   """
-  report = load.play(load.Plan(seed=seed, seconds=20, jobs_per_s=75))
+  report = load.simulate(load.Plan(seed=seed, seconds=20, jobs_per_s=75))
   assert report.broken == ()
   assert sum(kind.late for kind in report.kinds) <= 9
 
 
 @pytest.mark.parametrize("seed", (1, 2))
 def test_calm_load_is_served_in_time(seed):
-  report = load.play(load.Plan(seed=seed, seconds=15, jobs_per_s=50))
+  report = load.simulate(load.Plan(seed=seed, seconds=15, jobs_per_s=50))
   assert report.broken == ()
   assert served_in_time(report) > 0.97
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("seed", (1, 2))
 def test_overload_is_refused_at_once_and_wastes_no_work(seed):
   """120 jobs a second ask for 1.2 times what the endpoints can do."""
-  report = load.play(load.Plan(seed=seed, seconds=15, jobs_per_s=120))
+  report = load.simulate(load.Plan(seed=seed, seconds=15, jobs_per_s=120))
   assert report.broken == ()
   assert served_in_time(report) > 0.6
   refused = sum(kind.refused for kind in report.kinds)
@@ -49,7 +49,7 @@
   the long and 0.78 of the narrow ones were served in time (mean of 16 seeds);
   with places kept for wide jobs 0.60, 0.86 and 0.63.
   """
-  report = load.play(load.Plan(seed=seed, seconds=15, jobs_per_s=130))
+  report = load.simulate(load.Plan(seed=seed, seconds=15, jobs_per_s=130))
   assert report.broken == ()
   in_time = {kind.kind: kind.in_time / kind.asked for kind in report.kinds}
   assert in_time["wide"] > 0.5
@@ -67,11 +67,11 @@
   0.12 were served in time; 0.96 to 0.98 and 0.75 to 0.77 after.
   """
   plan = load.Plan(seed=seed, seconds=12, jobs_per_s=60, lost_orders=lost)
-  report = load.play(plan)
+  report = load.simulate(plan)
   assert report.broken == ()
   assert served_in_time(report) > least
 
 
 def test_same_seed_plays_the_same():
   plan = load.Plan(seed=7, seconds=3, jobs_per_s=60)
-  assert load.play(plan) == load.play(plan)
+  assert load.simulate(plan) == load.simulate(plan)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -37,7 +37,7 @@
   assert sum("job_begun job" in line for line in lines) == logs.BURST_LINES
   assert "event=store_lost what=config" in lines
   assert lines[-1] == "event=log_left_out lines=400 by_event=job_begun:400"
-  assert sink.left_out == 0
+  assert sink.dropped_lines == 0
 
 
 def test_reader_that_stops_reading_stalls_nothing():
@@ -47,12 +47,12 @@
     clock[0] += 1 / logs.LINES_PER_S
     logger.info("event=job_answered job={} {}", number, "x" * 100)
     sink.tick(clock[0])
-  assert sink.left_out > 0
+  assert sink.dropped_lines > 0
   for _ in range(20):
     read_all(reader)
     clock[0] += 0.1
     sink.tick(clock[0])
-  assert sink.left_out == 0
+  assert sink.dropped_lines == 0
 
 
 def test_reader_that_is_gone_stalls_nothing():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,8 +29,8 @@
   async def grant(self, ttl_ms):
     return self.store.grant(ttl_ms / 1000, now=0.0)
 
-  async def keep(self, lease):
-    if not self.store.keep(lease, now=0.0):
+  async def keep_alive(self, lease):
+    if not self.store.keep_alive(lease, now=0.0):
       raise kvtypes.LeaseGoneError("gone")
 
   async def transact(self, wanted):
--- a/tests/test_nodefile.py
+++ b/tests/test_nodefile.py
@@ -25,9 +25,9 @@
   node = nodefile.decode(json.dumps(RAW))
   assert node.host == "entry-1"
   assert node.data_centre == "north"
-  assert node.callers == settings.Address("10.1.0.13", 8161)
-  assert node.links == settings.Address("10.1.0.13", 7720)
-  assert node.metrics == settings.Address("10.1.0.13", 7721)
+  assert node.callers_address == settings.Address("10.1.0.13", 8161)
+  assert node.peer_address == settings.Address("10.1.0.13", 7720)
+  assert node.metrics_address == settings.Address("10.1.0.13", 7721)
   assert node.grace_s == 6.0
   assert node.cores == pytest.approx(2.151)
   assert node.convergence_s == 3.0
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("limits", [None, {}, {"cpuShare": 0.5, "cores": None}])
 def test_host_that_is_not_told_its_processor_starts_all_the_same(limits):
   node = nodefile.decode(json.dumps({**RAW, "limits": limits}))
-  assert node.cores == election.ROOMY_CORES
+  assert node.cores == election.HOLDER_CORES
 
 
 @pytest.mark.parametrize("name", ["node", "zone", "listen", "platform"])
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -321,7 +321,7 @@
 def test_without_its_checks_a_task_starts_twice(monkeypatch, lost):
   """The naive versions fail: the tests above can see a double start."""
   if lost == "accept":
-    real = ownership.accept
+    real = ownership.answer_claim
 
     def any_view(state, request):
       view = state.membership.view.digest
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -109,11 +109,11 @@
   async def go():
     client = peer.PeerClient(address)
     with pytest.raises(peer.PeerRefusedError):
-      await client.ask(probe, timeout_s=5)
+      await client.send_request(probe, timeout_s=5)
     server = peer.PeerServer(address, "boot-2", silent)
     await server.start()
     with pytest.raises(peer.PeerLostError):
-      await client.ask(probe, timeout_s=0.2)
+      await client.send_request(probe, timeout_s=0.2)
     await client.close()
     await server.close()
 
--- a/tests/test_platform_callers.py
+++ b/tests/test_platform_callers.py
@@ -31,7 +31,7 @@
       60,
   )
   first, second = job.steps
-  assert first == model.Step(2, model.Room(27000, 64, 0), 900)
+  assert first == model.Step(2, model.Resources(27000, 64, 0), 900)
   assert (second.after, second.requires, second.near) == ((0,), "a", "r1-3")
 
 
--- a/tests/test_platform_claims.py
+++ b/tests/test_platform_claims.py
@@ -7,8 +7,8 @@
 from fescueturn import kvtypes
 from fescueturn import settings
 from fescueturn.platform import claims
-from fescueturn.platform import reach
 from fescueturn.platform import store
+from fescueturn.platform import storebackoff
 from fescueturn.scheduler import events
 from fescueturn.scheduler import model
 
@@ -18,7 +18,7 @@
 
 
 def change(value: bytes | None) -> events.HolderChanged:
-  return claims._change(SHARD, kvtypes.Item(KEY, 7, value))
+  return claims._holder_change(SHARD, kvtypes.Item(KEY, 7, value))
 
 
 def test_claim_names_its_holder():
@@ -58,7 +58,7 @@
     ],
 )
 def test_key_names_a_shard_or_none(rest, shard):
-  assert claims._shard(claims.PREFIX + rest) == shard
+  assert claims._parse_shard(claims.PREFIX + rest) == shard
 
 
 class SilentClient:
@@ -98,4 +98,4 @@
       ignore,
   )
   given_up_s = max(client.waits_ms) / 1000 + store.WATCH_SLACK_S
-  assert given_up_s + reach.RETRY_MAX_S < convergence_s
+  assert given_up_s + storebackoff.RETRY_MAX_S < convergence_s
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -46,7 +46,7 @@
 
   async def range(self, prefix):
     self.calls.append(("range", prefix))
-    item = kvtypes.Item(configuration.KEY, 2, value(1))
+    item = kvtypes.Item(configuration.CONFIG_KEY, 2, value(1))
     return kvtypes.Changes(100, (item, *self.asked))
 
   async def watch(self, prefix, after, wait_ms):
@@ -100,7 +100,7 @@
 
 def test_change_and_malformed_change():
   client = FakeClient()
-  key = configuration.KEY
+  key = configuration.CONFIG_KEY
   client.changes = [
       kvtypes.Changes(101, (kvtypes.Item(key, 101, b"{"),)),
       kvtypes.Changes(102, (kvtypes.Item(key, 102, value(5)),)),
@@ -111,7 +111,7 @@
 def test_newest_configuration_of_one_answer_is_told_alone():
   """A host that was cut off during a storm of changes reads the last one."""
   client = FakeClient()
-  key = configuration.KEY
+  key = configuration.CONFIG_KEY
   client.changes = [
       kvtypes.Changes(
           109, tuple(kvtypes.Item(key, 100 + n, value(n)) for n in range(2, 9))
@@ -184,7 +184,9 @@
   client.asked = [asked("north", 7)]
   client.changes = [
       kvtypes.Changes(101, (asked("south", 101),)),
-      kvtypes.Changes(102, (kvtypes.Item(configuration.KEY, 102, value(2)),)),
+      kvtypes.Changes(
+          102, (kvtypes.Item(configuration.CONFIG_KEY, 102, value(2)),)
+      ),
       kvtypes.Changes(103, (asked("north", 103, None),)),
   ]
   _, told = watch_both(client, 0.3)
@@ -259,8 +261,8 @@
     await self.put(1)
 
   async def put(self, version):
-    self._store.put(configuration.KEY, value(version))
-    await self._wire.changed()
+    self._store.put(configuration.CONFIG_KEY, value(version))
+    await self._wire.notify_watches()
 
   async def close(self):
     await self._server.close()
@@ -316,8 +318,10 @@
       ]
     return [task.result for task in tasks]
 
-  unheard = dict(zip(SILENCES_S, curio.run(run), strict=True))
-  assert {s: t for s, t in unheard.items() if t > CONVERGENCE_S} == {}
+  elapsed_by_silence = dict(zip(SILENCES_S, curio.run(run), strict=True))
+  assert {
+      s: t for s, t in elapsed_by_silence.items() if t > CONVERGENCE_S
+  } == {}
 
 
 def test_configuration_does_not_wait_for_the_evacuations_beside_it():
--- a/tests/test_platform_endpoints.py
+++ b/tests/test_platform_endpoints.py
@@ -31,7 +31,7 @@
   endpoint = endpoints.decode_entry(item("i-1", state="draining"))
   assert endpoint.id == "i-1"
   assert endpoint.draining
-  assert endpoint.capacity == model.Room(64000, 131072, 0)
+  assert endpoint.capacity == model.Resources(64000, 131072, 0)
   assert endpoint.labels == ("a", "r1-3")
 
 
--- a/tests/test_platform_keeper.py
+++ b/tests/test_platform_jobstore.py
@@ -8,13 +8,13 @@
 from fescueturn import errors
 from fescueturn import kvtypes
 from fescueturn.platform import claims
-from fescueturn.platform import keeper
+from fescueturn.platform import jobstore
 from fescueturn.scheduler import keptevents
 from fescueturn.scheduler import model
 from fescueturn.standins import kvstore
 
 SHARD = model.Shard("north")
-NEED = model.Room(27000, 64, 0)
+NEED = model.Resources(27000, 64, 0)
 
 
 class MemoryStore:
@@ -64,25 +64,25 @@
   """A holder's writes, one after the other."""
 
   def __init__(self, memory: MemoryStore):
-    self.keeper = keeper.Keeper(memory, time.monotonic)
+    self.keeper = jobstore.JobStore(memory, time.monotonic)
     self.fence = memory.claim()
     self.loaded = curio.run(
-        self.keeper.load, keptevents.LoadKept(SHARD, self.fence)
+        self.keeper.load, keptevents.LoadKeptJobs(SHARD, self.fence)
     )
     self.after = self.loaded.revision
     self.number = 0
 
-  def write(self, *changes) -> keptevents.KeptWritten:
+  def write(self, *changes) -> keptevents.KeptJobsWritten:
     self.number += 1
-    effect = keptevents.WriteKept(
+    effect = keptevents.WriteKeptJobs(
         SHARD, self.fence, self.number, self.after, changes
     )
     written = curio.run(self.keeper.write, effect)
     self.after = written.revision
     return written
 
-  def state(self, job_id) -> keeper.Known | None:
-    return curio.run(self.keeper.state, job_id)
+  def state(self, job_id) -> jobstore.JobStatus | None:
+    return curio.run(self.keeper.get_status, job_id)
 
 
 DONE = keptevents.WriteResult.DONE
@@ -93,25 +93,25 @@
   memory = MemoryStore()
   first = Holder(memory)
   progress = model.Progress((TASK,), (model.RunId(model.Task("k", 0, 0), 2),))
-  assert first.write(keptevents.KeepJob(job("k"))).result is DONE
-  assert first.write(keptevents.KeepProgress("k", progress)).result is DONE
+  assert first.write(keptevents.StoreJob(job("k"))).result is DONE
+  assert first.write(keptevents.StoreProgress("k", progress)).result is DONE
   second = Holder(memory)
   assert second.loaded.takeovers == 1
   assert second.loaded.jobs == (model.KeptJob(job("k"), progress),)
-  assert second.state("k") == keeper.Known(model.KeptState.OPEN, SHARD)
+  assert second.state("k") == jobstore.JobStatus(model.KeptJobState.OPEN, SHARD)
 
 
 def test_job_that_is_over_leaves_only_its_state_until_it_is_forgotten():
   memory = MemoryStore()
   holder = Holder(memory)
-  holder.write(keptevents.KeepJob(job("k")))
-  holder.write(keptevents.KeepProgress("k", model.Progress((TASK,))))
-  holder.write(keptevents.KeepEnd("k", model.KeptState.DONE))
+  holder.write(keptevents.StoreJob(job("k")))
+  holder.write(keptevents.StoreProgress("k", model.Progress((TASK,))))
+  holder.write(keptevents.StoreEnd("k", model.KeptJobState.DONE))
   assert not [k for k in memory.keys() if "open/" in k or "ends/" in k]
-  assert holder.state("k").state is model.KeptState.DONE
-  wanted = keptevents.ListEnded(SHARD, holder.fence)
-  assert curio.run(holder.keeper.ended, wanted).job_ids == ("k",)
-  holder.write(keptevents.ForgetJob("k"))
+  assert holder.state("k").state is model.KeptJobState.DONE
+  wanted = keptevents.ListEndedJobs(SHARD, holder.fence)
+  assert curio.run(holder.keeper.list_ended, wanted).job_ids == ("k",)
+  holder.write(keptevents.DeleteJob("k"))
   assert holder.state("k") is None
 
 
@@ -120,8 +120,8 @@
   memory = MemoryStore()
   holder = Holder(memory)
   memory.faults = faults
-  assert holder.write(keptevents.KeepJob(job("k"))).result is DONE
-  assert holder.write(keptevents.KeepJob(job("l"))).result is DONE
+  assert holder.write(keptevents.StoreJob(job("k"))).result is DONE
+  assert holder.write(keptevents.StoreJob(job("l"))).result is DONE
   for wanted in memory.late:
     with pytest.raises(kvtypes.ConflictError):
       memory.store.transact(wanted)
@@ -130,11 +130,11 @@
 def test_replaced_holder_writes_nothing_more_and_is_told():
   memory = MemoryStore()
   first = Holder(memory)
-  first.write(keptevents.KeepJob(job("k")))
+  first.write(keptevents.StoreJob(job("k")))
   second = Holder(memory)
-  ended = keptevents.KeepEnd("k", model.KeptState.DONE)
+  ended = keptevents.StoreEnd("k", model.KeptJobState.DONE)
   assert first.write(ended).result is keptevents.WriteResult.REPLACED
-  assert second.state("k").state is model.KeptState.OPEN
+  assert second.state("k").state is model.KeptJobState.OPEN
   assert second.write(ended).result is DONE
 
 
@@ -143,10 +143,10 @@
   holder = Holder(memory)
   key = claims.claim_key(SHARD)
   memory.store.transact(kvtypes.Transaction(removes=(key,)))
-  written = holder.write(keptevents.KeepJob(job("k")))
+  written = holder.write(keptevents.StoreJob(job("k")))
   assert written.result is keptevents.WriteResult.REPLACED
   loaded = curio.run(
-      holder.keeper.load, keptevents.LoadKept(SHARD, holder.fence + 5)
+      holder.keeper.load, keptevents.LoadKeptJobs(SHARD, holder.fence + 5)
   )
   assert loaded.replaced
 
@@ -154,8 +154,8 @@
 def test_job_that_the_store_has_is_named_and_nothing_is_written():
   memory = MemoryStore()
   holder = Holder(memory)
-  holder.write(keptevents.KeepJob(job("k")))
-  changes = [keptevents.KeepJob(job("k")), keptevents.KeepJob(job("l"))]
+  holder.write(keptevents.StoreJob(job("k")))
+  changes = [keptevents.StoreJob(job("k")), keptevents.StoreJob(job("l"))]
   written = holder.write(*changes)
   assert written.result is keptevents.WriteResult.EXISTS
   assert written.existing == ("k",)
@@ -169,13 +169,13 @@
   memory.faults = ["lost"]
   holder = Holder(memory)
   assert holder.loaded.takeovers == 1
-  assert holder.write(keptevents.KeepJob(job("k"))).result is DONE
+  assert holder.write(keptevents.StoreJob(job("k"))).result is DONE
 
 
 def test_record_of_another_version_is_passed_over_and_stays():
   memory = MemoryStore()
   holder = Holder(memory)
-  holder.write(keptevents.KeepJob(job("k")), keptevents.KeepJob(job("l")))
+  holder.write(keptevents.StoreJob(job("k")), keptevents.StoreJob(job("l")))
   key = next(k for k in memory.keys() if k.endswith("open/north/0/k"))
   memory.store.put(key, b'{"version": 9}')
   assert [k.job.id for k in Holder(memory).loaded.jobs] == ["l"]
@@ -189,27 +189,31 @@
 
 
 def open_at(memory: MemoryStore, data_centre: str):
-  effect = keptevents.ListOpen(model.Shard(data_centre), 1)
-  return curio.run(keeper.Keeper(memory, time.monotonic).open_jobs, effect).jobs
+  effect = keptevents.ListOpenJobs(model.Shard(data_centre), 1)
+  return curio.run(
+      jobstore.JobStore(memory, time.monotonic).open_jobs, effect
+  ).jobs
 
 
 def test_moved_job_is_found_at_its_next_shard_with_what_is_over_of_it():
   memory = MemoryStore()
   holder = Holder(memory)
-  holder.write(keptevents.KeepJob(job("j")))
+  holder.write(keptevents.StoreJob(job("j")))
   holder.write(moved("j"))
   assert open_at(memory, "north") == ()
   assert open_at(memory, "south") == (moved("j").kept,)
   known = curio.run(holder.keeper.state, "j")
-  assert known == keeper.Known(model.KeptState.OPEN, model.Shard("south"))
+  assert known == jobstore.JobStatus(
+      model.KeptJobState.OPEN, model.Shard("south")
+  )
 
 
 def test_move_that_is_carried_out_after_a_takeover_moves_nothing():
   memory = MemoryStore()
   holder = Holder(memory)
-  holder.write(keptevents.KeepJob(job("j")))
+  holder.write(keptevents.StoreJob(job("j")))
   late = holder.keeper._transaction(
-      keptevents.WriteKept(
+      keptevents.WriteKeptJobs(
           SHARD, holder.fence, holder.number + 1, holder.after, (moved("j"),)
       )
   )
@@ -223,7 +227,7 @@
 def test_move_that_is_carried_out_twice_moves_once():
   memory = MemoryStore()
   holder = Holder(memory)
-  holder.write(keptevents.KeepJob(job("j")))
+  holder.write(keptevents.StoreJob(job("j")))
   memory.faults = ["late"]
   holder.write(moved("j"))
   (late,) = memory.late
--- a/tests/test_platform_stories.py
+++ b/tests/test_platform_stories.py
@@ -20,11 +20,13 @@
   host = deployment.hosts[0]
   response, body = host.submit(deployments.job_id(0x30), tasks=400, run_s=1.0)
   assert (response.status, body["code"]) == (429, 211)
-  story = explained(deployment, f"q-{deployments.job_id(0x30)}")
-  assert story.count("declined: no room expected in time") == len(
+  request_timeline = explained(deployment, f"q-{deployments.job_id(0x30)}")
+  assert request_timeline.count("declined: no room expected in time") == len(
       deployments.ZONES
   )
-  assert "its caller was answered 'not_run'" in story.splitlines()[-1]
+  assert (
+      "its caller was answered 'not_run'" in request_timeline.splitlines()[-1]
+  )
 
 
 def test_story_of_a_job_given_up_when_its_holder_stood_still(deployment):
@@ -36,10 +38,12 @@
   finally:
     os.kill(owner.process.pid, signal.SIGCONT)
   assert (response.status, body["code"]) == (504, 213)
-  story = explained(deployment, f"q-{deployments.job_id(0x31)}")
-  assert f"offered to {owner.name}, which holds south" in story
-  assert f"the holder of south, {owner.name}, was lost: silent" in story
-  assert "its caller was answered 'unknown'" in story
+  request_timeline = explained(deployment, f"q-{deployments.job_id(0x31)}")
+  assert f"offered to {owner.name}, which holds south" in request_timeline
+  assert (
+      f"the holder of south, {owner.name}, was lost: silent" in request_timeline
+  )
+  assert "its caller was answered 'unknown'" in request_timeline
   deployments.wait_for(lambda: deployment.owner("south"), "an owner again")
 
 
@@ -50,6 +54,6 @@
       host.callers, "GET", "/gone/", None, headers
   )
   assert (response.status, body["code"]) == (404, 215)
-  story = explained(deployment, "q-nowhere")
-  assert "no queue for GET /gone/ in configuration version" in story
-  assert "last confirmed by the store" in story
+  request_timeline = explained(deployment, "q-nowhere")
+  assert "no queue for GET /gone/ in configuration version" in request_timeline
+  assert "last confirmed by the store" in request_timeline
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -65,16 +65,16 @@
   def fault_cut(self):
     host, names = self._host(), [*self._made.hosts, *self._names]
     cut = self._some(names)
-    host.cut.update(cut)
-    self._later(lambda: host.cut.difference_update(cut))
+    host.partitioned_from.update(cut)
+    self._later(lambda: host.partitioned_from.difference_update(cut))
 
   def fault_store_turns_away(self):
     host = self._host()
-    host.cut.add("store")
-    self._later(lambda: host.cut.discard("store"))
+    host.partitioned_from.add("store")
+    self._later(lambda: host.partitioned_from.discard("store"))
 
   def fault_claim_ends(self):
-    self._made.end_claim(model.Shard(self._rng.choice(fleets.ZONES)))
+    self._made.delete_claim(model.Shard(self._rng.choice(fleets.ZONES)))
 
   def fault_entries_lapse(self):
     lapsed = self._some(self._names)
@@ -93,11 +93,11 @@
   def fault_orders_are_lost(self):
     endpoints = list(self._made.endpoints.values())
     for endpoint in endpoints:
-      endpoint.loses = 0.2
+      endpoint.loss_rate = 0.2
 
     def mend():
       for endpoint in endpoints:
-        endpoint.loses = 0.0
+        endpoint.loss_rate = 0.0
 
     self._later(mend)
 
@@ -106,14 +106,14 @@
     host = self._rng.choice([h for h in made.hosts.values() if h.up])
     name = f"crash{self._rng.random()}"
     wanted = test_kept_jobs.job(name, 2, 200)
-    crash_s = self._rng.choice((0.001, 0.1))
-    made.submit(host.name, wanted, [0.2] * 2, 5.0, crash_s)
+    crash_after_s = self._rng.choice((0.001, 0.1))
+    made.submit(host.name, wanted, [0.2] * 2, 5.0, crash_after_s)
 
   def fault_capacity_moves(self):
     endpoint = self._made.endpoints[self._rng.choice(self._names)]
     before = endpoint.info.capacity
     cpu = self._rng.choice((0, 27000, 40000, 150000))
-    endpoint.resize(model.Room(cpu, before.mem_mb, before.gpu))
+    endpoint.resize(model.Resources(cpu, before.mem_mb, before.gpu))
     self._later(lambda: endpoint.resize(before))
 
   def fault_planned_stop(self):
@@ -125,7 +125,9 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_no_rule_is_broken_and_most_jobs_are_done(seed):
   made = fleets.fleet(seed=seed)
-  requests = fleets.load(made, list(made.hosts.values()), LOAD_S, LOAD_PER_S)
+  requests = fleets.submit_load(
+      made, list(made.hosts.values()), LOAD_S, LOAD_PER_S
+  )
   Faults(made, seed).plan()
   made.clock.run_until(END_S)
   assert made.broken == []
@@ -140,7 +142,7 @@
   endpoint = made.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
-    made.work[task] = fleets.fleet_lib.endpoint_lib.Work(
+    made.task_profiles[task] = fleets.fleet_lib.endpoint_lib.TaskProfile(
         fleets.NEED, 60.0, False
     )
     run = model.RunId(task, 1)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -21,60 +21,65 @@
 
 def holder_record(at: float = 10.0) -> coordinatorstate.HolderRecord:
   record = coordinatorstate.HolderRecord(HOLDER, at)
-  record.take_roster(
+  record.update_roster(
       linkmessages.Pong(at=at, roster=3, endpoints=("i-1", "i-2"))
   )
   return record
 
 
 def test_roster_of_the_holder_just_before_is_used():
-  assert roster.left_by(holder_record(), 7, 11.0) == {"i-1", "i-2"}
+  assert roster.inherited_endpoints(holder_record(), 7, 11.0) == {"i-1", "i-2"}
 
 
 def test_roster_is_not_used_where_it_may_lack_an_endpoint():
-  assert roster.left_by(None, 7, 11.0) is None
+  assert roster.inherited_endpoints(None, 7, 11.0) is None
   # Another host held the shard since, or it isn't known whether one did.
-  assert roster.left_by(holder_record(), 9, 11.0) is None
-  assert roster.left_by(holder_record(), 0, 11.0) is None
+  assert roster.inherited_endpoints(holder_record(), 9, 11.0) is None
+  assert roster.inherited_endpoints(holder_record(), 0, 11.0) is None
   # It was told too long ago: an endpoint may have joined since.
-  assert roster.left_by(holder_record(), 7, 10.0 + roster.GOOD_S + 0.1) is None
+  assert (
+      roster.inherited_endpoints(
+          holder_record(), 7, 10.0 + roster.MAX_AGE_S + 0.1
+      )
+      is None
+  )
   nothing_told = coordinatorstate.HolderRecord(HOLDER, 10.0)
-  assert roster.left_by(nothing_told, 7, 10.1) is None
+  assert roster.inherited_endpoints(nothing_told, 7, 10.1) is None
 
 
 def test_roster_of_the_same_version_is_as_old_as_the_ping_that_it_answers():
   record = holder_record(10.0)
-  record.take_roster(linkmessages.Pong(at=11.0, roster=3))
-  assert record.roster_at == 11.0
+  record.update_roster(linkmessages.Pong(at=11.0, roster=3))
+  assert record.roster_valid_at == 11.0
   # An answer that names a version not known here says nothing of this one.
-  record.take_roster(linkmessages.Pong(at=12.0, roster=4))
-  assert record.roster_at == 11.0
+  record.update_roster(linkmessages.Pong(at=12.0, roster=4))
+  assert record.roster_valid_at == 11.0
 
 
 def told_owner() -> ownerstate.Owner:
   """Returns an owner that has told a roster of one endpoint, i-0."""
   owner = ownerstate.Owner(test_leases.SHARD, 7, 0.0)
   first = dataclasses.replace(test_leases.ENDPOINT, id="i-0")
-  leases.endpoints_listed(owner, (first,))
-  assert owner.endpoints["i-0"].out_until <= owner.now
-  assert tell(owner).endpoints == ("i-0",)
+  leases.handle_endpoint_list(owner, (first,))
+  assert owner.endpoints["i-0"].excluded_until <= owner.now
+  assert update_for(owner).endpoints == ("i-0",)
   owner.now = 10.0
   return owner
 
 
-def tell(owner: ownerstate.Owner, known: int = 0) -> roster.Told:
-  return owner.roster.tell(known, owner.endpoints, owner.now)
+def update_for(owner: ownerstate.Owner, known: int = 0) -> roster.RosterUpdate:
+  return owner.roster.update_for(known, owner.endpoints, owner.now)
 
 
 def ping(made, owner, known: int = 0) -> linkmessages.Pong:
   """Returns what a holder of an emulated fleet answers to a ping."""
   shard = model.Shard(owner.data_centre)
-  asker = fleets.other_than(made, owner).party
+  asker = fleets.other_host(made, owner).process
   effects = reducer.reduce(
       owner.state, linkmessages.Ping(shard, asker, 3.5, known), made.clock.now
   )
   (pong,) = [
-      e.message for e in effects if isinstance(e, events.TellCoordinator)
+      e.message for e in effects if isinstance(e, events.SendToCoordinator)
   ]
   return pong
 
@@ -92,55 +97,55 @@
 
 
 def test_holder_without_a_list_of_endpoints_tells_nothing():
-  assert roster.Roster().tell(0, (), 1.0) == roster.NOTHING_TOLD
+  assert roster.Roster().update_for(0, (), 1.0) == roster.NO_UPDATE
 
 
 def test_endpoint_that_joins_waits_until_rosters_without_it_are_too_old():
   owner = told_owner()
-  leases.endpoints_listed(owner, (test_leases.ENDPOINT,))
+  leases.handle_endpoint_list(owner, (test_leases.ENDPOINT,))
   record = owner.endpoints["i-1"]
-  assert record.out_until == owner.now + roster.JOIN_WAIT_S
-  assert roster.JOIN_WAIT_S > roster.GOOD_S
-  assert "i-1" in tell(owner).endpoints
+  assert record.excluded_until == owner.now + roster.JOIN_DELAY_S
+  assert roster.JOIN_DELAY_S > roster.MAX_AGE_S
+  assert "i-1" in update_for(owner).endpoints
 
 
 def test_endpoint_whose_entry_lapsed_with_the_store_comes_back_at_once():
   owner = told_owner()
-  leases.endpoints_listed(owner, (test_leases.ENDPOINT,))
-  owner.endpoints["i-1"].call_waits = False
-  leases.endpoints_listed(owner, ())
+  leases.handle_endpoint_list(owner, (test_leases.ENDPOINT,))
+  owner.endpoints["i-1"].call_pending = False
+  leases.handle_endpoint_list(owner, ())
   assert "i-1" not in owner.endpoints
-  assert "i-1" in tell(owner).endpoints
-  owner.now += roster.DROPPED_KEPT_S - 1
-  leases.endpoints_listed(owner, (test_leases.ENDPOINT,))
-  assert owner.endpoints["i-1"].out_until <= owner.now
+  assert "i-1" in update_for(owner).endpoints
+  owner.now += roster.REMOVED_RETENTION_S - 1
+  leases.handle_endpoint_list(owner, (test_leases.ENDPOINT,))
+  assert owner.endpoints["i-1"].excluded_until <= owner.now
 
 
 def test_endpoint_that_left_is_in_no_roster():
   owner = told_owner()
   leaving = dataclasses.replace(test_leases.ENDPOINT, draining=True)
-  leases.endpoints_listed(owner, (leaving,))
-  assert "i-1" in tell(owner).endpoints
-  owner.endpoints["i-1"].call_waits = False
-  leases.endpoints_listed(owner, ())
-  assert "i-1" not in tell(owner).endpoints
+  leases.handle_endpoint_list(owner, (leaving,))
+  assert "i-1" in update_for(owner).endpoints
+  owner.endpoints["i-1"].call_pending = False
+  leases.handle_endpoint_list(owner, ())
+  assert "i-1" not in update_for(owner).endpoints
 
 
 def test_new_holder_is_settled_once_every_endpoint_of_the_roster_has_told():
   owner = ownerstate.Owner(
-      test_leases.SHARD, 8, 0.0, left=frozenset(("i-1", "i-2"))
+      test_leases.SHARD, 8, 0.0, previous_roster=frozenset(("i-1", "i-2"))
   )
   other = dataclasses.replace(test_leases.ENDPOINT, id="i-2")
-  leases.endpoints_listed(owner, (test_leases.ENDPOINT, other))
+  leases.handle_endpoint_list(owner, (test_leases.ENDPOINT, other))
   answers = {
       "i-1": model.CallResult.OK,
       # Another life answers there: nothing of this one is left.
       "i-2": model.CallResult.GONE,
   }
   for name, result in answers.items():
-    assert not owner.settled
-    leases.lease_answered(owner, events.LeaseAnswered(name, 1, result, 5))
-  assert owner.settled
+    assert not owner.recovered
+    leases.handle_lease_answer(owner, events.LeaseAnswered(name, 1, result, 5))
+  assert owner.recovered
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -150,12 +155,12 @@
   made.clock.run_until(4.0)  # The first holders are settled.
   owner = fleets.owner_of(made, "a")
   others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.load(made, others, 4, 40)
+  requests = fleets.submit_load(made, others, 4, 40)
   made.clock.at(6.0, lambda: made.kill(owner.name))
   made.clock.run_until(12)
   assert made.broken == []
   slow = [r for r in requests if made.answers[r].took_s > 1.6]
-  done = fleets.outcomes(made, requests)[model.Outcome.DONE]
+  done = fleets.count_outcomes(made, requests)[model.Outcome.DONE]
   assert done > 0.95 * len(requests)
   # A task of 0.9 s may be 1.4 times as long, and run twice.
   assert len(slow) <= 1
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -20,10 +20,10 @@
 
 def test_calm_load_is_answered_whole_and_in_time():
   made = fleets.fleet()
-  requests = fleets.load(made, list(made.hosts.values()), 10, 60)
+  requests = fleets.submit_load(made, list(made.hosts.values()), 10, 60)
   made.clock.run_until(15)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
   for request in requests:
     answer = made.answers[request].answer
@@ -33,14 +33,14 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_takeover_from_a_living_owner_starts_no_task_twice(seed):
   made = fleets.fleet(seed=seed)
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 6, 40)
+  requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 6, 40)
   owner = fleets.owner_of(made, "a")
   # The store turns the owner away: its claim lapses, another host's holds.
-  made.clock.at(2.0, lambda: owner.cut.add("store"))
+  made.clock.at(2.0, lambda: owner.partitioned_from.add("store"))
   made.clock.run_until(12)
   assert fleets.owner_of(made, "a") is not owner
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
 
 
@@ -49,11 +49,11 @@
   made = fleets.fleet(seed=seed)
   owner = fleets.owner_of(made, "a")
   others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.load(made, others, 6, 40)
+  requests = fleets.submit_load(made, others, 6, 40)
   made.clock.at(3.0, lambda: made.kill(owner.name))
   made.clock.run_until(12)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.85 * len(requests)
   (new_owner,) = fleets.owner_of(made, "a").state.owners.values()
   assert new_owner.counters["adopted"] > 0
@@ -64,13 +64,13 @@
   made = fleets.fleet(seed=seed)
   owner = fleets.owner_of(made, "a")
   others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.load(made, others, 8, 40)
+  requests = fleets.submit_load(made, others, 8, 40)
   made.clock.at(3.0, lambda: setattr(owner, "frozen", True))
   made.clock.at(6.0, owner.thaw)
   made.clock.run_until(14)
   assert fleets.owner_of(made, "a") is not owner
   assert made.broken == []
-  assert len(fleets.outcomes(made, requests)) >= 1
+  assert len(fleets.count_outcomes(made, requests)) >= 1
   assert len(made.answers) == len(requests)
 
 
@@ -78,7 +78,7 @@
 def test_coordinator_killed_its_runs_are_stopped_before_a_resend(seed):
   made = fleets.fleet(seed=seed)
   owner = fleets.owner_of(made, "a")
-  first = fleets.other_than(made, owner)
+  first = fleets.other_host(made, owner)
   wanted = fleets.job("again", 4, 900)
   made.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
   made.clock.run_until(1.1)
@@ -94,7 +94,7 @@
 
 def test_late_orders_overfill_no_endpoint_and_start_no_task_twice():
   made = fleets.fleet()
-  fleets.load(made, list(made.hosts.values()), 20, 70)
+  fleets.submit_load(made, list(made.hosts.values()), 20, 70)
   for number, name in enumerate(made.endpoints):
     endpoint = made.endpoints[name]
     begin = 2.0 + number * 0.6
@@ -106,7 +106,7 @@
 
 def test_draining_endpoint_gets_no_new_task():
   made = fleets.fleet()
-  fleets.load(made, fleets.zone_hosts(made, "a"), 8, 30)
+  fleets.submit_load(made, fleets.zone_hosts(made, "a"), 8, 30)
   made.clock.at(3.0, lambda: made.drain("e-a0"))
   made.clock.run_until(4.2)
   before = len(made.endpoints["e-a0"].starts)
@@ -120,30 +120,30 @@
   request = made.submit("a0", fleets.job("gone", 4, 900), [0.9] * 4)
   made.clock.run_until(1.2)
   assert sum(len(e.running) for e in made.endpoints.values()) == 4
-  made.hang_up("a0", request)
+  made.disconnect_caller("a0", request)
   made.clock.run_until(1.3)
   assert sum(len(e.running) for e in made.endpoints.values()) == 0
 
 
 def test_store_away_changes_nothing_for_callers():
   made = fleets.fleet()
-  requests = fleets.load(made, list(made.hosts.values()), 8, 50)
+  requests = fleets.submit_load(made, list(made.hosts.values()), 8, 50)
   made.clock.at(2.0, lambda: setattr(made, "store_up", False))
   made.clock.run_until(14)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_claim_taken_away_from_a_living_owner_comes_back_to_it():
   made = fleets.fleet()
   owner = fleets.owner_of(made, "a")
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 4, 30)
-  made.clock.at(2.0, lambda: made.end_claim(model.Shard("a")))
+  requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 4, 30)
+  made.clock.at(2.0, lambda: made.delete_claim(model.Shard("a")))
   made.clock.run_until(8)
   assert fleets.owner_of(made, "a") is owner
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
 
 
@@ -163,9 +163,9 @@
   made.endpoints["e-a0"].failing = True
   # At all data centres: one alone would pass its jobs on rather than let
   # them wait, and keep the endpoints that it compares with idle.
-  requests = fleets.load(made, list(made.hosts.values()), 6, 60)
+  requests = fleets.submit_load(made, list(made.hosts.values()), 6, 60)
   made.clock.run_until(12)
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.95 * len(requests)
   starts = {n: len(e.starts) for n, e in made.endpoints.items()}
   assert starts["e-a0"] < 0.3 * starts["e-a1"]
@@ -174,10 +174,10 @@
 def test_stuck_run_is_stopped_and_run_elsewhere():
   made = fleets.fleet()
   made.endpoints["e-a0"].hanging = True
-  requests = fleets.load(made, fleets.zone_hosts(made, "a"), 6, 30)
+  requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 6, 30)
   made.clock.run_until(12)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
@@ -187,7 +187,7 @@
   made = fleets.fleet(seed=seed)
   owner = fleets.owner_of(made, "a")
   others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  fleets.load(made, others, 6, 60)
+  fleets.submit_load(made, others, 6, 60)
   made.clock.at(2.9, lambda: made.unlisted.update(("e-a0", "e-a1", "e-a2")))
   made.clock.at(3.0, lambda: made.kill(owner.name))
   made.clock.at(4.5, made.unlisted.clear)
@@ -204,12 +204,12 @@
   made.clock.run_until(1.2)
   for name, zone in names:
     made.add_host(name, zone)
-  requests = fleets.load(made, list(made.hosts.values()), 1.0, 60)
+  requests = fleets.submit_load(made, list(made.hosts.values()), 1.0, 60)
   made.clock.run_until(1.6)
   assert all(fleets.owner_of(made, zone) for zone in fleets.ZONES)
   made.clock.run_until(6)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
   assert model.Outcome.UNKNOWN not in found
 
@@ -217,11 +217,11 @@
 def test_one_order_in_ten_lost_takes_no_endpoint_out_of_use():
   made = fleets.fleet()
   for endpoint in made.endpoints.values():
-    endpoint.loses = 0.1
-  requests = fleets.load(made, list(made.hosts.values()), 8, 50)
+    endpoint.loss_rate = 0.1
+  requests = fleets.submit_load(made, list(made.hosts.values()), 8, 50)
   made.clock.run_until(14)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.9 * len(requests)
 
 
@@ -230,7 +230,7 @@
   made = fleets.fleet()
   owner = fleets.owner_of(made, "a")
   made.clock.run_until(2.0)
-  made.end_claim(model.Shard("a"))
+  made.delete_claim(model.Shard("a"))
   # The holder hears of it late, and a host starts meanwhile.
   made.add_host("a9", "a")
   made.clock.run_until(6)
@@ -241,12 +241,14 @@
   """The job was offered again after a pause; the first answer comes late."""
   made = fleets.fleet()
   owner = fleets.owner_of(made, "a")
-  host = fleets.other_than(made, owner)
+  host = fleets.other_host(made, owner)
   request = made.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
-  record.offers += 1  # As if it had been offered again meanwhile.
+  record.offer_count += 1  # As if it had been offered again meanwhile.
   late = linkmessages.Declined(record.key, 1, 100)
-  host.apply(events.Heard(model.Shard("a"), owner.party, late))
+  host.apply(
+      events.HolderMessageReceived(model.Shard("a"), owner.process, late)
+  )
   assert record.shard == model.Shard("a")
   assert request not in made.answers
 
@@ -270,7 +272,7 @@
 def test_planned_stops_in_turn_start_no_task_twice(seed):
   made = fleets.fleet(seed=seed)
   hosts = list(made.hosts.values())
-  requests = fleets.load(made, hosts, 8, 70)
+  requests = fleets.submit_load(made, hosts, 8, 70)
   for number, zone in enumerate(fleets.ZONES * 2):
     when = 1.5 + number
 
@@ -289,7 +291,7 @@
     made.clock.at(when, stop)
   made.clock.run_until(15)
   assert made.broken == []
-  found = fleets.outcomes(made, requests)
+  found = fleets.count_outcomes(made, requests)
   assert found[model.Outcome.DONE] > 0.93 * len(requests)
 
 
@@ -297,7 +299,7 @@
   """The holder took the job and was replaced before its answer came."""
   made = fleets.fleet()
   owner = fleets.owner_of(made, "a")
-  host = fleets.other_than(made, owner)
+  host = fleets.other_host(made, owner)
   request = made.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
   shard = model.Shard("a")
@@ -305,10 +307,14 @@
   after = model.Holder("a8", "a8.boot", before.peer, before.fence + 1)
   # No answer to the offer yet; the next holder has no room, nor has any other.
   made.hosts["a8"] = host
-  record.tried.update((model.Shard("b"), model.Shard("c")))
+  record.declined_by.update((model.Shard("b"), model.Shard("c")))
   host.apply(events.HolderChanged(shard, after))
-  decline = linkmessages.Declined(record.key, record.offers, 100)
-  host.apply(events.Heard(shard, linkmessages.Party("a8", "a8.boot"), decline))
+  decline = linkmessages.Declined(record.key, record.offer_count, 100)
+  host.apply(
+      events.HolderMessageReceived(
+          shard, linkmessages.HostProcess("a8", "a8.boot"), decline
+      )
+  )
   answered = made.answers.get(request)
   assert (
       answered is None or answered.answer.outcome is not model.Outcome.NOT_RUN
@@ -319,9 +325,9 @@
   """The caller's time is over while the holder's word is on its way."""
   made = fleets.fleet()
   owner = fleets.owner_of(made, "a")
-  host = fleets.other_than(made, owner)
+  host = fleets.other_host(made, owner)
   request = made.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
-  host.cut.add(owner.name)  # The offer is out; no answer comes.
+  host.partitioned_from.add(owner.name)  # The offer is out; no answer comes.
   (record,) = host.state.coordinator.jobs.values()
   record.deadline = made.clock.now
   host.apply(events.Tick())
--- a/tests/test_scheduler_host.py
+++ b/tests/test_scheduler_host.py
@@ -11,9 +11,9 @@
 from fescueturn.scheduler import model
 from fescueturn.scheduler import state
 
-PARTY = linkmessages.Party("host-1", "boot-1")
+PARTY = linkmessages.HostProcess("host-1", "boot-1")
 JOB = model.Job(
-    "j", "s", "spec", (model.Step(1, model.Room(1, 1, 0), 50),), 1, 1.6, 60
+    "j", "s", "spec", (model.Step(1, model.Resources(1, 1, 0), 50),), 1, 1.6, 60
 )
 
 
@@ -25,7 +25,7 @@
     del owns
 
   ports = host.Ports(call, call, call, call, call, owning, *[call] * 4)
-  me = state.Identity(PARTY, "north", (model.Shard("north"),))
+  me = state.HostIdentity(PARTY, "north", (model.Shard("north"),))
   address = settings.Address("127.0.0.1", 0)
   return host.SchedulerHost(me, address, ports, timer.TimerService(1.0))
 
@@ -59,7 +59,7 @@
   async def run():
     await made.apply(events.HolderChanged(shard, holder))
     assert made.tick_period_s == host.IDLE_TICK_S
-    gone = linkmessages.Party("host-2", "b")
+    gone = linkmessages.HostProcess("host-2", "b")
     await made.apply(events.LinkLost(shard, gone, refused=True))
     assert made.tick_period_s == host.TICK_S
 
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -37,7 +37,7 @@
     )
     watch = await curio.spawn(kv.watch, "/m/", revision, 10_000)
     await curio.sleep(0.05)
-    await steering.fault("down")
+    await steering.set_fault("down")
     await curio.sleep(0.4)  # The lease runs out meanwhile.
     try:
       return await watch.join()
@@ -62,10 +62,10 @@
 
 def test_lost_reply_follows_a_write_that_took_effect():
   async def body(kv, steering):
-    await steering.fault("lose_reply")
+    await steering.set_fault("lose_reply")
     with pytest.raises(errors.KvError):
       await kv.transact(kvtypes.Transaction({"/a": 0}, {"/a": b"1"}))
-    await steering.fault("none")
+    await steering.set_fault("none")
     return await kv.get("/a")
 
   found = curio.run(with_platform, body)
@@ -76,11 +76,11 @@
   async def body(kv, steering):
     del steering
     lease = await kv.grant(60_000)
-    await kv.keep(lease)
+    await kv.keep_alive(lease)
     await kv.transact(kvtypes.Transaction(puts={"/m/x": b"1"}, lease=lease))
-    await kv.end(lease)
+    await kv.revoke(lease)
     with pytest.raises(kvtypes.LeaseGoneError):
-      await kv.keep(lease)
+      await kv.keep_alive(lease)
     return await kv.range("/m/")
 
   assert curio.run(with_platform, body).items == ()
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -21,7 +21,7 @@
 from fescueturn.scheduler import model
 from tests import test_linkcodec
 from tests import test_peer
-from tests import test_platform_keeper
+from tests import test_platform_jobstore
 
 JOB_RECORD = (
     b'{"service":"speller","spec":"spec","steps":[[2,[27000,64,0],200,[],"a",'
@@ -70,23 +70,23 @@
 
 
 def test_kept_jobs_of_the_earlier_build_are_read():
-  memory = test_platform_keeper.MemoryStore()
+  memory = test_platform_jobstore.MemoryStore()
   for key, value in STORED.items():
     memory.store.put(key, value)
-  holder = test_platform_keeper.Holder(memory)
-  job = test_platform_keeper.job("k")
+  holder = test_platform_jobstore.Holder(memory)
+  job = test_platform_jobstore.job("k")
   assert holder.loaded.takeovers == 1
   assert holder.loaded.jobs == (model.KeptJob(job, PROGRESS),)
-  assert holder.state("k").state is model.KeptState.OPEN
-  assert holder.state("over").state is model.KeptState.FAILED
+  assert holder.state("k").state is model.KeptJobState.OPEN
+  assert holder.state("over").state is model.KeptJobState.FAILED
 
 
 def test_kept_jobs_are_written_as_the_earlier_build_reads_them():
-  memory = test_platform_keeper.MemoryStore()
-  holder = test_platform_keeper.Holder(memory)
-  job = test_platform_keeper.job("k")
-  holder.write(keptevents.KeepJob(job))
-  holder.write(keptevents.KeepProgress("k", PROGRESS))
+  memory = test_platform_jobstore.MemoryStore()
+  holder = test_platform_jobstore.Holder(memory)
+  job = test_platform_jobstore.job("k")
+  holder.write(keptevents.StoreJob(job))
+  holder.write(keptevents.StoreProgress("k", PROGRESS))
   found = {item.key: item.value for item in memory.store.range("")}
   del found[CLAIM_KEY]
   assert found == {
@@ -96,13 +96,13 @@
 
 
 def test_claim_of_the_earlier_build_names_its_holder():
-  shard = claims._shard(CLAIM_KEY)
-  holder = claims._holder(kvtypes.Item(CLAIM_KEY, 7, CLAIM))
+  shard = claims._parse_shard(CLAIM_KEY)
+  holder = claims._decode_holder(kvtypes.Item(CLAIM_KEY, 7, CLAIM))
   peer = settings.Address("10.0.0.1", 7720)
   assert shard == model.Shard("north", 0)
   assert holder == model.Holder("h", "b", peer, 7)
-  party = linkmessages.Party("h", "b")
-  assert claims.Claims(None, party, peer)._value == CLAIM
+  process = linkmessages.HostProcess("h", "b")
+  assert claims.Claims(None, process, peer)._value == CLAIM
 
 
 def test_member_and_endpoint_of_the_earlier_build_are_read_and_written():
--- a/tests/test_progress.py
+++ b/tests/test_stragglers.py
@@ -1,37 +1,39 @@
 """Endpoints that turn slow are found out while their runs are at work."""
 
-from fescueturn.scheduler import ledger
+from fescueturn.scheduler import endpointstate
 from fescueturn.scheduler import model
 from tests import fleets
 from tests import test_leases
 
 
-def record_with_runs(*jobs: str) -> ledger.EndpointRecord:
-  record = ledger.EndpointRecord(test_leases.ENDPOINT, 0.0)
-  record.known = True
+def record_with_runs(*jobs: str) -> endpointstate.EndpointRecord:
+  record = endpointstate.EndpointRecord(test_leases.ENDPOINT, 0.0)
+  record.runs_known = True
   for name in jobs:
     run = model.RunId(model.Task(name, 0, 0), 1)
-    state = ledger.RunState.RUNNING
-    record.add(ledger.Run(run, fleets.NEED, state, 0.0, 900))
+    state = endpointstate.RunState.RUNNING
+    record.add(endpointstate.Run(run, fleets.NEED, state, 0.0, 900))
   return record
 
 
 def test_run_is_slowed_by_its_progress_against_its_estimate():
   (run,) = record_with_runs("j").runs.values()
-  assert not run.slowed(0.3), "no progress is told yet"
+  assert not run.observed_slowdown(0.3), "no progress is told yet"
   run.percent = 4
-  assert round(run.slowed(0.3), 1) == 8.3
+  assert round(run.observed_slowdown(0.3), 1) == 8.3
   run.percent = 20
-  assert not run.slowed(0.3), "1.7 times is within what estimates are off by"
+  assert not run.observed_slowdown(
+      0.3
+  ), "1.7 times is within what estimates are off by"
 
 
 def test_one_job_that_takes_long_does_not_make_its_endpoint_slow():
   record = record_with_runs("j", "k")
   first, second = record.runs.values()
-  assert not record.run_slowed(first, 8.0)
-  assert not record.run_slowed(first, 8.0)
+  assert not record.record_slow_run(first, 8.0)
+  assert not record.record_slow_run(first, 8.0)
   assert record.slowness == 1.0
-  assert record.run_slowed(second, 6.0)
+  assert record.record_slow_run(second, 6.0)
   assert record.slowness == 6.0
   assert not record.usable(0.3), "it has runs; one at a time is enough to see"
 
@@ -39,7 +41,7 @@
 def test_run_on_an_endpoint_turned_slow_is_begun_anew_elsewhere():
   made = fleets.fleet()
   slow = made.endpoints["e-a0"]
-  slow.slow = 8.0
+  slow.slowdown = 8.0
   requests = [
       made.submit("a0", fleets.job(f"j{n}", 4, 900), [0.9] * 4, 5.0)
       for n in range(3)
