--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -18,7 +18,7 @@
 from fescueturn import state as state_lib
 
 CLAIM_TIMEOUT_S = 1.0
-RETRY_S = 0.02
+CLAIM_RETRY_DELAY_S = 0.02
 # Rounds in which a later holder named another claimant before yielding to
 # it: two coordinators may each hold one holder, and the one that has the
 # first holder waits for the other to yield.
@@ -52,11 +52,11 @@
 
 
 def _retry_later(state, record) -> list:
-  if state.now >= record.claim_until:
+  if state.now >= record.claim_deadline:
     return jobs.refuse_all(state, record, jobs.unclaimed_error(record))
   if not record.retry_pending:
     record.retry_pending = True
-    state.schedule(state.now + RETRY_S, lambda s: _retry(s, record))
+    state.schedule(state.now + CLAIM_RETRY_DELAY_S, lambda s: _retry(s, record))
   return []
 
 
--- a/fescueturn/cli.py
+++ b/fescueturn/cli.py
@@ -1,8 +1,11 @@
-"""The command line: thin daemons and operator tools over the library.
+"""Command line: daemons and operator tools, both thin wrappers of the library.
 
 Daemons: ``entry``, ``endpoint``, ``platform`` (each with ``--settings``).
-Tools: ``submit``, ``cancel``, ``config get|put|check``, ``dump``, ``demo``, ``bench``.
-Every refusal prints its numbered code (docs/ERRORS.md) and exits 2.
+Tools: ``submit``, ``cancel``, ``config get|put|check``, ``dump``, ``explain``,
+``emulate``, ``demo``, ``bench``.
+
+A command that fails with a numbered error prints its code (docs/ERRORS.md) and
+exits with `EXIT_REFUSED`.
 """
 
 import dataclasses
@@ -49,7 +52,10 @@
 
 
 def _run_closing(client, call):
-  """Runs `call(client)`, closes the client; refuses on a numbered error."""
+  """Runs `call(client)` and closes the client.
+
+  On a numbered error, prints it and exits with `EXIT_REFUSED`.
+  """
 
   async def run():
     try:
@@ -83,7 +89,7 @@
 
 
 async def _until_signal():
-  """Waits until SIGTERM or SIGINT asks for a planned stop."""
+  """Waits for SIGTERM or SIGINT, which request a graceful shutdown."""
   stop = curio.UniversalEvent()
 
   def handler(signum, frame):
@@ -148,7 +154,7 @@
 @main.command("entry")
 @click.option("--settings", "path", required=True, help="INI settings file.")
 def entry_command(path):
-  """Run an entry host: serve callers' jobs (HTTP) and peers (pycapnp)."""
+  """Run an entry host, which serves callers (HTTP) and peers (Cap'n Proto)."""
   _daemon(path, "entry", _run_entry)
 
 
@@ -168,7 +174,7 @@
 
 @main.group()
 def config():
-  """Operators' team settings in the platform."""
+  """Read, check and write the team settings stored in the platform."""
 
 
 @config.command("check")
@@ -199,12 +205,12 @@
     type=int,
     default=0,
     show_default=True,
-    help="Revision replaced; 0 for a new team.",
+    help="Revision to replace; 0 for a new team.",
 )
 @click.argument("team")
 @click.argument("file", type=click.File())
 def config_put(platform, expect, team, file):
-  """Check and write a team's settings, if still at revision --expect."""
+  """Check a team's settings and write them if still at revision --expect."""
   text = file.read()
 
   revision = _with_platform(
@@ -224,18 +230,20 @@
 
 
 @main.command("emulate")
-@click.option("--seed", default=1, show_default=True, help="Of the draws.")
+@click.option("--seed", default=1, show_default=True, help="Random seed.")
+@click.option(
+    "--seconds", default=30.0, show_default=True, help="Duration of the load."
+)
 @click.option(
-    "--seconds", default=30.0, show_default=True, help="Load's length."
+    "--jobs-per-s", default=70.0, show_default=True, help="Overall rate."
 )
-@click.option("--jobs-per-s", default=70.0, show_default=True, help="In all.")
 @click.option("--data-centres", default=3, show_default=True)
-@click.option("--hosts", default=2, show_default=True, help="A data centre.")
+@click.option("--hosts", default=2, show_default=True, help="Per data centre.")
 @click.option(
-    "--endpoints", default=8, show_default=True, help="A data centre."
+    "--endpoints", default=8, show_default=True, help="Per data centre."
 )
 def emulate_command(**options):
-  """Play a seeded load on an emulated fleet, in virtual time."""
+  """Simulate a seeded load on an emulated fleet, in virtual time."""
   report = load.simulate(load.Plan(**options))
   click.echo("kind    asked in_time  late refused failed  p50_ms  p99_ms")
   for kind in report.kinds:
@@ -253,12 +261,12 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, type=click.File())
 def explain_command(request_id, files):
-  """Tell a request's story from hosts' log FILES (or standard input)."""
+  """Print a request's timeline from hosts' log FILES (or standard input)."""
   sources = files or (click.get_text_stream("stdin"),)
   lines = [line for source in sources for line in source]
   found = explain.request_timeline(lines, request_id)
   if not found:
-    _refuse(errors.NotLoggedError(f"no line tells of {request_id}"))
+    _refuse(errors.NotLoggedError(f"no log line mentions {request_id}"))
   for line in found:
     click.echo(f"{line.at} {line.host}: {line.describe()}")
 
@@ -300,7 +308,7 @@
 @click.option("--team", required=True, help="The job's team.")
 @click.argument("key")
 def cancel_command(address, team, key):
-  """Cancel the job under an Idempotency-Key and print its answer."""
+  """Cancel the job that has this Idempotency-Key and print its answer."""
   result = _with_daemon(address, lambda pool: caller.cancel(pool, team, key))
   click.echo(json.dumps(result.body, indent=2))
   if result.answer is None:
@@ -312,18 +320,18 @@
     "--jobs", "per_team", default=20, show_default=True, help="Jobs per team."
 )
 @click.option(
-    "--max-tasks", default=30, show_default=True, help="Most tasks in one job."
+    "--max-tasks", default=30, show_default=True, help="Maximum tasks per job."
 )
 @click.option("--seed", default=1, show_default=True, help="Workload seed.")
 def demo_command(per_team, max_tasks, seed):
-  """Bring up one data centre on loopback, run both teams' jobs, report."""
+  """Start one data centre on loopback, run both teams' jobs and report."""
   logs.setup("demo", "WARNING")
   sys.exit(demo.main(per_team, max_tasks, seed))
 
 
 @main.group("bench")
 def bench_group():
-  """Benchmarks (not tests): jobs under faults, and what decisions cost."""
+  """Benchmarks, not tests: jobs under faults, and the cost of decisions."""
 
 
 @bench_group.command("faults")
@@ -331,15 +339,16 @@
     "--out",
     default="bench-faults.json",
     show_default=True,
-    help="Where the rows go.",
+    help="File that the result rows are written to.",
 )
 @click.argument("names", nargs=-1)
 def bench_faults(out, names):
-  """Run jobs while things fail (all scenarios, or those named)."""
+  """Run jobs under injected faults (all scenarios, or those in NAMES)."""
   unknown = [n for n in names if n not in faultbench.SCENARIOS]
   if unknown:
     raise click.ClickException(
-        f"no scenario {unknown[0]!r}; one of {', '.join(faultbench.SCENARIOS)}"
+        f"unknown scenario {unknown[0]!r}; choose from"
+        f" {', '.join(faultbench.SCENARIOS)}"
     )
   logs.setup("bench", "WARNING")
   chosen = list(names or faultbench.SCENARIOS)
@@ -349,12 +358,12 @@
 @bench_group.command("hotpath")
 @click.option("--seconds", default=4.0, show_default=True)
 @click.option("--jobs-per-s", default=430.0, show_default=True)
-@click.option("--hosts", default=13, show_default=True, help="A data centre.")
+@click.option("--hosts", default=13, show_default=True, help="Per data centre.")
 @click.option(
-    "--endpoints", default=59, show_default=True, help="A data centre."
+    "--endpoints", default=59, show_default=True, help="Per data centre."
 )
 def bench_hotpath(**options):
-  """Measure what decisions and log lines cost a job, in virtual time."""
+  """Measure the cost per job of decisions and log lines, in virtual time."""
   costs = hotpath.measure(load.Plan(**options))
   for field, value in dataclasses.asdict(costs).items():
     click.echo(f"{field}={value:.1f}")
--- a/fescueturn/codes.py
+++ b/fescueturn/codes.py
@@ -1,18 +1,19 @@
-"""Numbered result codes shared by every role; the table is docs/ERRORS.md.
+"""Numbered result codes shared by all roles; docs/ERRORS.md has the table.
 
-Codes 0-99 describe a task, 100-199 a job, 200-299 bad input, 300-399 the
-platform's service, 400-499 settings and 500-599 connections. A task code always says whether the
-task ran: `RAN`, `NOT_RUN` or `UNKNOWN` is given by `task_ran()`.
+Codes 0-99 describe a task, 100-199 a job, 200-299 a rejected or failed request,
+300-399 the platform's key-value service, 400-499 settings and 500-599
+connections. Each task code states whether the task ran; `task_ran` maps it to
+`Ran.RAN`, `Ran.NOT_RUN` or `Ran.UNKNOWN`.
 """
 
 import enum
 
 
 class Code(enum.IntEnum):
-  """Every numbered result code. Values are stable; never renumber."""
+  """A numbered result code. Callers rely on the values: never renumber."""
 
   OK = 0
-  # Task codes: each says whether the task ran.
+  # Task codes: each states whether the task ran.
   TASK_DONE = 1
   TASK_FAILED = 2
   TASK_NOT_RUN = 10
@@ -29,7 +30,8 @@
   JOB_FAILED = 101
   JOB_IN_FLIGHT = 102
   JOB_CANCELLED = 103
-  # Bad input: the request is refused whole and nothing starts.
+  # Rejected requests: no task of the job is started, except that OWNER_LOST
+  # leaves this unknown.
   BAD_JSON = 200
   BAD_FIELD = 201
   UNKNOWN_TEAM = 202
@@ -49,7 +51,7 @@
   NO_QUEUE = 215
   NO_JOB = 216
   ENDPOINTS_CRASHED = 217
-  # The platform's service.
+  # The platform's key-value service.
   KV_CONFLICT = 300
   KV_UNAVAILABLE = 301
   KV_NOT_FOUND = 302
@@ -57,14 +59,14 @@
   SETTINGS_MISSING = 400
   SETTINGS_BAD_VALUE = 401
   SETTINGS_UNKNOWN_KEY = 402
-  # A daemon at the other end of a connection.
+  # Connections to other daemons, and log searches.
   UNREACHABLE = 500
   REPLY_LOST = 501
   NOT_LOGGED = 502
 
 
 class Ran(enum.Enum):
-  """Whether a task ran, as far as the entry host can know."""
+  """What the entry host knows of whether a task ran."""
 
   RAN = "ran"
   NOT_RUN = "not_run"
@@ -91,7 +93,7 @@
     code: a task code (1-99).
 
   Returns:
-    `Ran.RAN`, `Ran.NOT_RUN`, or `Ran.UNKNOWN` for the unknown codes.
+    `Ran.RAN` or `Ran.NOT_RUN` if the code proves it, else `Ran.UNKNOWN`.
   """
   if code in _RAN_CODES:
     return Ran.RAN
--- a/fescueturn/dispatch.py
+++ b/fescueturn/dispatch.py
@@ -53,7 +53,7 @@
 
 
 def _send(state, record, task_id: str, endpoint) -> events.SendTask:
-  state.endpoints.started(endpoint.name)
+  state.endpoints.record_start(endpoint.name)
   state.queue.busy[record.job.team] += 1
   state.counters["sends"] += 1
   record.in_flight[task_id] = state_lib.InFlightTask(endpoint.name, state.now)
@@ -84,7 +84,7 @@
   late = state.now - _patience_s(record.job)
   for sent in record.in_flight.values():
     if sent.sent_at <= late:
-      state.endpoints.unreachable(sent.endpoint, state.now)
+      state.endpoints.mark_unreachable(sent.endpoint, state.now)
   if not record.done or record.in_flight:
     schedule_overdue_check(state, record)
   return []
@@ -95,8 +95,8 @@
   table = state.endpoints
   if event.code == codes.Code.TASK_DONE:
     declared_ms = record.tasks[event.task_id].run_ms
-    table.succeeded(event.endpoint, event.elapsed_ms, declared_ms)
+    table.record_success(event.endpoint, event.elapsed_ms, declared_ms)
   elif event.code == codes.Code.TASK_NOT_RUN:
-    table.unreachable(event.endpoint, state.now)
+    table.mark_unreachable(event.endpoint, state.now)
   elif event.code in (codes.Code.TASK_FAILED, codes.Code.TASK_UNKNOWN_LOST):
-    table.failed(event.endpoint, event.key, state.now)
+    table.record_failure(event.endpoint, event.key, state.now)
--- a/fescueturn/endpointclient.py
+++ b/fescueturn/endpointclient.py
@@ -1,4 +1,7 @@
-"""The entry host's side towards endpoints: one HTTP exchange a task."""
+"""HTTP client through which an entry host sends tasks to endpoints.
+
+Each task is one HTTP request and response.
+"""
 
 import json
 from collections.abc import Callable
@@ -30,7 +33,7 @@
 
 
 class EndpointClient:
-  """Kept-alive connections to endpoints; `close` drops them."""
+  """Sends tasks over pooled keep-alive connections, one pool per endpoint."""
 
   def __init__(self, now: Callable[[], float], stats):
     self._now = now
@@ -42,12 +45,17 @@
     if pool is None:
       pool = httpio.Pool(endpoint.address, limit=endpoint.slots)
     self._pools[endpoint.address] = pool
-    if len(self._pools) > MAX_IDLE_POOLS:  # The one longest unused goes.
+    # The dictionary is in order of last use: evict the least recently used.
+    if len(self._pools) > MAX_IDLE_POOLS:
       await self._pools.pop(next(iter(self._pools))).close()
     return pool
 
   async def send(self, effect: events.SendTask) -> events.TaskFinished:
-    """Sends one task and returns what is known of it: never raises."""
+    """Sends one task and returns its outcome.
+
+    A failed exchange does not raise: it gives `TASK_NOT_RUN` if the request
+    was never sent, else `TASK_UNKNOWN_LOST`.
+    """
     pool = await self._pool(effect.endpoint)
     sent_at = self._now()
     code, result = await self._exchange(pool, effect)
--- a/fescueturn/entry.py
+++ b/fescueturn/entry.py
@@ -28,7 +28,7 @@
 from fescueturn import state as state_lib
 from fescueturn import timer
 
-DRAIN_LIMIT_S = 60.0
+DRAIN_TIMEOUT_S = 60.0
 
 
 class _Waiter:
@@ -137,7 +137,7 @@
         config.peer_listen,
     )
 
-  async def drain(self, limit_s: float = DRAIN_LIMIT_S):
+  async def drain(self, limit_s: float = DRAIN_TIMEOUT_S):
     """A planned stop: pass new keys on, finish what is in flight, leave."""
     logger.info("event=drain_started name={}", self._process.name)
     await self._apply(events.DrainStarted())
@@ -184,7 +184,7 @@
         "draining": state.draining,
         "members": len(state.membership.members),
         "view": view.digest if view else 0,
-        "ready": state.membership.may_hold(self._timer.now())
+        "ready": state.membership.may_accept_claims(self._timer.now())
         and state.membership.sync is None,
         "endpoints": state.endpoints.usable_count(),
         "teams": sum(1 for t in state.teams.values() if t.team_settings),
--- a/fescueturn/errors.py
+++ b/fescueturn/errors.py
@@ -1,10 +1,10 @@
-"""The exception tree. Each error carries a numbered `codes.Code`."""
+"""Exception hierarchy; each error carries a numbered `codes.Code`."""
 
 from fescueturn import codes
 
 
 class FescueError(Exception):
-  """Base of every error this package raises on purpose.
+  """Base class of all errors that this package defines.
 
   Attributes:
     code: the numbered result code (see docs/ERRORS.md).
@@ -40,7 +40,7 @@
 
 
 class KvConflictError(KvError):
-  """A compare-and-swap found another revision than the one expected."""
+  """A compare-and-swap found a revision other than the expected one."""
 
   code = codes.Code.KV_CONFLICT
 
@@ -52,12 +52,12 @@
 
 
 class UnservedError(BadRequestError):
-  """The job asks for something that this version doesn't do; nothing ran."""
+  """The job needs a feature that this version lacks; no task was started."""
 
   code = codes.Code.UNSERVED
 
 
 class NotLoggedError(FescueError):
-  """No log line tells of what was asked for."""
+  """No log line mentions the given request or job."""
 
   code = codes.Code.NOT_LOGGED
--- a/fescueturn/explain.py
+++ b/fescueturn/explain.py
@@ -1,41 +1,45 @@
-"""One request's story, read from the log lines of any number of hosts.
+"""Builds the timeline of one request from the log lines of any hosts.
 
-The lines are those of `logs`: ``key=value`` pairs, one event a line. A request
-is named by the caller's own id for it or by its job's id.
+The lines have the format of `logs`: ``key=value`` pairs, one event per line. A
+request is identified by the caller's request id or by its job's id.
 """
 
 import dataclasses
 import shlex
 from collections.abc import Iterable
 
-# What each event says in words; a field in braces is the line's own.
-_WORDS = {
+# The description of each event; names in braces are fields of its log line.
+_TEMPLATES = {
     "job_offered": (
-        "offered to {holder}, which holds {data_centre} with fence {fence} and"
-        " was heard from {holder_heard_ms_ago} ms before; the job was {age_ms}"
-        " ms old, its caller waits {left_ms} ms more"
+        "offered to {holder}, which holds {data_centre} with fencing token"
+        " {fence} and last sent a message {holder_heard_ms_ago} ms before; the"
+        " job was {age_ms} ms old, its caller waits for another {left_ms} ms"
     ),
     "job_declined": (
-        "declined: no room expected in time (short by {wait_ms} ms, behind"
+        "declined: no room expected in time ({wait_ms} ms too late, behind"
         " {waiting_jobs} waiting jobs)"
     ),
     "job_put_off": (
-        "not begun there at once: it would wait {wait_ms} ms, behind"
-        " {waiting_jobs} waiting jobs, {kept_for_wider} places being kept for"
-        " wider ones"
+        "not started there at once: it would wait {wait_ms} ms, behind"
+        " {waiting_jobs} waiting jobs, with {kept_for_wider} slots reserved for"
+        " wider jobs"
+    ),
+    "job_begun": (
+        "its first task was started, {waited_ms} ms after the job arrived"
     ),
-    "job_begun": "its first task was ordered, {waited_ms} ms after it came",
     "job_answered": (
         "its caller was answered '{outcome}' after {age_ms} ms: {reason}"
     ),
-    "job_over": "its holder ended it after {age_ms} ms: {why}",
-    "kept_job_over": "the store has it as {state}, written under fence {fence}",
-    "state_told": "a caller was told its state: {state}",
-    "cancel_asked": "a caller asked to cancel it, at the holder of {data_centre}",
+    "job_over": "its holder finished it after {age_ms} ms: {why}",
+    "kept_job_over": "stored as {state}, with fencing token {fence}",
+    "state_told": "its state was reported to a caller: {state}",
+    "cancel_asked": (
+        "a caller requested its cancellation by the holder of {data_centre}"
+    ),
     "cancel_answered": "the cancellation was answered '{outcome}': {reason}",
     "job_unserved": "refused: {why}",
     "job_malformed": "rejected as malformed: {why}",
-    "caller_gone": "its caller hung up after {age_ms} ms",
+    "caller_gone": "its caller disconnected after {age_ms} ms",
     "run_adopted": (
         "task {step}.{task} was found running on {endpoint} and taken over"
     ),
@@ -44,18 +48,19 @@
         " {why}"
     ),
     "run_stuck": (
-        "task {step}.{task} on {endpoint} got nowhere ({percent}% after"
+        "task {step}.{task} on {endpoint} made no progress ({percent}% after"
         " {age_ms} ms) and was stopped"
     ),
     "start_failed": (
-        "the order to start task {step}.{task} on {endpoint} failed: {result}"
+        "the request to start task {step}.{task} on {endpoint} failed: {result}"
     ),
     "task_suspected": (
-        "task {step}.{task} lost {endpoint} on its start {attempt}, its"
-        " endpoint number {losses}; {crashes} of them surely crashed"
+        "task {step}.{task} lost {endpoint} on attempt {attempt}, the endpoint"
+        " lost number {losses}; {crashes} of these are confirmed crashes"
     ),
     "task_given_up": (
-        "task {step}.{task} was given up: it crashed {crashed}; in doubt: {lost}"
+        "task {step}.{task} was abandoned: it crashed {crashed}; suspected of"
+        " crashing: {lost}"
     ),
     "no_route": (
         "no queue for {method} {path} in configuration version {config}, last"
@@ -65,19 +70,23 @@
         "the holder of {data_centre}, {holder}, was lost: {why}; last heard"
         " from {heard_ms_ago} ms before"
     ),
-    "holder_changed": "{data_centre} is held by {holder} now, fence {fence}",
+    "holder_changed": (
+        "{data_centre} is now held by {holder}, fencing token {fence}"
+    ),
     "kept_loaded": (
-        "the holder of {data_centre} read {jobs} kept jobs from the store, fence"
-        " {fence}"
-    ),
-    "kept_write_replaced": "its write to the store came too late, fence {fence}",
-    "shard_lost": "it gave up {data_centre}: {why}",
-    "config_in_force": "configuration version {version} came into force",
-    "endpoint_silent": "{endpoint} stopped answering",
-    "endpoint_ejected": "{endpoint} was left out for {for_s} s",
+        "the holder of {data_centre} loaded {jobs} jobs from the store, fencing"
+        " token {fence}"
+    ),
+    "kept_write_replaced": (
+        "its write to the store was rejected: fencing token {fence} is stale"
+    ),
+    "shard_lost": "it lost ownership of {data_centre}: {why}",
+    "config_in_force": "configuration version {version} took effect",
+    "endpoint_silent": "{endpoint} stopped responding",
+    "endpoint_ejected": "{endpoint} was excluded for {for_s} s",
 }
-# Events that name no job, but may explain one that they happened beside.
-_BESIDE = (
+# Events that name no job or request but may explain what happened to one.
+_CONTEXT_EVENTS = (
     "holder_lost",
     "holder_changed",
     "shard_lost",
@@ -90,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Line:
-  """One log line: when, by which host, and its fields."""
+  """A parsed log line: its timestamp, its host and its fields."""
 
   at: str
   host: str
@@ -102,71 +111,77 @@
     return self.fields.get("event", "")
 
   def describe(self) -> str:
-    """Returns the line in words."""
-    template = _WORDS.get(self.event)
+    """Returns a description of the event, or all fields if it has none."""
+    template = _TEMPLATES.get(self.event)
     if template is None:
       return " ".join(f"{k}={v}" for k, v in self.fields.items())
     return template.format_map(_Fields(self.fields))
 
 
 class _Fields(dict):
-  """A line's fields; one that is missing is shown as such."""
+  """A line's fields; a missing field is shown as ``?``."""
 
   def __missing__(self, key: str) -> str:
     return "?"
 
 
 def parse(text: str) -> Line | None:
-  """Returns the line in `text`, or None if it is none of ours.
+  """Parses a log line; returns None if it is not in the format of `logs`.
 
-  Whatever stands before ``ts=`` on the line is passed over.
+  Text before ``ts=``, such as a log collector's prefix, is ignored.
   """
   start = text.find("ts=")
   if start < 0 or "event=" not in text:
     return None
   try:
-    words = shlex.split(text[start:])
+    parts = shlex.split(text[start:])
   except ValueError:
-    words = text[start:].split()
-  fields = dict(word.split("=", 1) for word in words if "=" in word)
+    parts = text[start:].split()
+  fields = dict(part.split("=", 1) for part in parts if "=" in part)
   at, host = fields.pop("ts", ""), fields.pop("proc", "")
   fields.pop("level", None)
   return Line(at, host, fields)
 
 
-def request_timeline(lines: Iterable[str], wanted: str) -> list[Line]:
-  """Returns the lines that tell of a request, in order of time.
+def request_timeline(lines: Iterable[str], wanted_id: str) -> list[Line]:
+  """Returns the lines about a request, and their context, in order of time.
+
+  The context is the `_CONTEXT_EVENTS` between the request's first and last line
+  that have an endpoint, holder or data centre in common with its lines, and all
+  configuration changes in that time.
 
   Args:
     lines: log lines of any number of hosts, in any order.
-    wanted: the request's id or its job's.
+    wanted_id: the request's id or its job's id.
   """
   parsed = [line for line in map(parse, lines) if line is not None]
-  jobs = {wanted}
+  jobs = {wanted_id}
   for line in parsed:
-    if line.fields.get("request") == wanted and "job" in line.fields:
+    if line.fields.get("request") == wanted_id and "job" in line.fields:
       jobs.add(line.fields["job"])
-  own = [line for line in parsed if _tells_of(line, wanted, jobs)]
+  own = [line for line in parsed if _is_about(line, wanted_id, jobs)]
   if not own:
     return []
   first, last = min(x.at for x in own), max(x.at for x in own)
-  named = {value for line in own for value in line.fields.values()}
-  beside = [
+  own_values = {value for line in own for value in line.fields.values()}
+  context = [
       line
       for line in parsed
-      if line.event in _BESIDE
+      if line.event in _CONTEXT_EVENTS
       and first <= line.at <= last
-      and _shares_a_name(line, named)
+      and _shares_value(line, own_values)
   ]
-  return sorted(own + beside, key=lambda line: line.at)
+  return sorted(own + context, key=lambda line: line.at)
 
 
-def _tells_of(line: Line, wanted: str, jobs: set[str]) -> bool:
-  return line.fields.get("job") in jobs or line.fields.get("request") == wanted
+def _is_about(line: Line, wanted_id: str, jobs: set[str]) -> bool:
+  return (
+      line.fields.get("job") in jobs or line.fields.get("request") == wanted_id
+  )
 
 
-def _shares_a_name(line: Line, named: set[str]) -> bool:
+def _shares_value(line: Line, own_values: set[str]) -> bool:
   names = ("endpoint", "holder", "data_centre")
   return line.event == "config_in_force" or any(
-      line.fields.get(name) in named for name in names
+      line.fields.get(name) in own_values for name in names
   )
--- a/fescueturn/framing.py
+++ b/fescueturn/framing.py
@@ -1,12 +1,12 @@
-"""Cap'n Proto's stream framing: one message's bytes off a TCP stream.
+"""Reads messages in Cap'n Proto's standard stream framing from a TCP stream.
 
-A message begins with its segment table, so a reader learns its length from
-the first words.
+A message begins with its segment table (segment count, then segment sizes),
+which gives the reader the message's length.
 """
 
 import struct
 
-WORD = 8
+WORD_BYTES = 8
 MAX_SEGMENTS = 512
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
@@ -22,18 +22,19 @@
   """Reads one framed Cap'n Proto message from a curio socket stream.
 
   Raises:
-    ConnectionError: the stream ended or the framing is out of bounds.
+    ConnectionError: the stream ended, or the message has more than
+      `MAX_SEGMENTS` segments or `MAX_MESSAGE_BYTES` bytes.
   """
   head = await _read_exactly(stream, 4)
-  (count_less_one,) = struct.unpack("<I", head)
-  count = count_less_one + 1
+  (last_index,) = struct.unpack("<I", head)
+  count = last_index + 1
   if count > MAX_SEGMENTS:
-    raise ConnectionError(f"{count} segments is too many")
+    raise ConnectionError(f"message with {count} segments exceeds the limit")
   table_size = 4 * count + (4 if count % 2 == 0 else 0)
   table = await _read_exactly(stream, table_size)
   sizes = struct.unpack(f"<{count}I", table[: 4 * count])
-  body_size = sum(sizes) * WORD
+  body_size = sum(sizes) * WORD_BYTES
   if body_size > MAX_MESSAGE_BYTES:
-    raise ConnectionError(f"message of {body_size} bytes is too large")
+    raise ConnectionError(f"message of {body_size} bytes exceeds the limit")
   body = await _read_exactly(stream, body_size)
   return head + table + body
--- a/fescueturn/httpio.py
+++ b/fescueturn/httpio.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 on curio sockets through h11, for both the server and client side.
+"""HTTP/1.1 server and client on curio sockets.
 
-h11 parses and frames the protocol; this module only moves bytes between it
-and curio sockets. A server is a function from `Request` to `Response`; a
-client `Pool` keeps up to N kept-alive connections to one address.
+h11 implements the protocol; this module only moves bytes between it and the
+sockets. `Server` passes each `Request` to a handler that returns a `Response`.
+`Pool` is a client with up to `limit` keep-alive connections to one address.
 """
 
 import dataclasses
@@ -25,16 +25,17 @@
 READ_SIZE = 65536
 DEFAULT_MAX_BODY = 4 * 1024 * 1024
 CONNECT_TIMEOUT_S = 5.0
-# Request heads kept: three calls to each of a hundred endpoints, with bodies of
-# some five lengths. Checking a head anew took 40 us of a call's 260.
-REQUEST_HEADS = 2048
-# How often a caller that sent more ahead is checked for having hung up.
+# Number of validated request heads in the cache: enough for three calls to each
+# of 100 endpoints with bodies of about five lengths. Without the cache, h11's
+# validation of the head takes 40 us of the 260 us that a call costs.
+REQUEST_HEAD_CACHE_SIZE = 2048
+# How often a connection with pipelined input is checked for a disconnect.
 PEEK_PERIOD_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-  """An HTTP request: method, target, lower-cased headers and whole body."""
+  """An HTTP request with its complete body; header names are in lower case."""
 
   method: str
   target: str
@@ -42,20 +43,20 @@
   body: bytes = b""
 
   def json(self) -> Any:
-    """Returns the body parsed as JSON; raises ValueError if it is not."""
+    """Returns the body parsed as JSON; raises ValueError if it is invalid."""
     return json.loads(self.body)
 
 
 @dataclasses.dataclass(frozen=True)
 class Response:
-  """An HTTP response with a whole body."""
+  """An HTTP response with its complete body."""
 
   status: int
   body: bytes = b""
   headers: tuple[tuple[str, str], ...] = ()
 
   def json(self) -> Any:
-    """Returns the body parsed as JSON; raises ValueError if it is not."""
+    """Returns the body parsed as JSON; raises ValueError if it is invalid."""
     return json.loads(self.body)
 
 
@@ -64,13 +65,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-  """What a server takes from one connection.
+  """Limits that a server applies to each connection.
 
   Attributes:
-    max_body: longest body in bytes.
-    idle_s: how long a connection may wait for a request; None for ever.
-    read_s: how long one request may take to come in.
-    cancel_on_disconnect: whether a handler is cancelled once its caller hangs up.
+    max_body: maximum length of a request's body in bytes.
+    idle_s: timeout in seconds for the first byte of the next request; None
+      disables this timeout and `read_s`.
+    read_s: timeout in seconds for receiving one request.
+    cancel_on_disconnect: whether to cancel a request's handler when the caller
+      closes the connection.
   """
 
   max_body: int = DEFAULT_MAX_BODY
@@ -80,13 +83,13 @@
 
 
 class NotSentError(errors.FescueError):
-  """The request never reached the server: it surely did not act on it."""
+  """The request was not sent, so the server cannot have acted on it."""
 
   code = codes.Code.UNREACHABLE
 
 
 class LostReplyError(errors.FescueError):
-  """The request may have reached the server, but no whole reply came."""
+  """No complete response arrived; the server may have acted on the request."""
 
   code = codes.Code.REPLY_LOST
 
@@ -99,7 +102,7 @@
 
 
 def with_connection_close(response: Response) -> Response:
-  """Returns `response`, told to end its connection."""
+  """Returns `response` with the header ``connection: close`` added."""
   return dataclasses.replace(
       response, headers=response.headers + (("connection", "close"),)
   )
@@ -150,17 +153,21 @@
 
 
 async def _wait_closed(sock):
-  """Returns once the other side has closed the connection."""
+  """Waits until the other side has closed the connection."""
   while True:
     await curio.traps._read_wait(sock.fileno())
     if not await sock.recv(1, socket.MSG_PEEK):
       return
-    # More was sent ahead: its end can't be seen before that is read.
+    # Unread pipelined input hides the end of the stream, so poll.
     await curio.sleep(PEEK_PERIOD_S)
 
 
 async def _handle_unless_closed(sock, handler: Handler, request: Request):
-  """Returns the handler's response, or None once the caller has hung up."""
+  """Runs the handler; cancels it when the caller closes the connection.
+
+  Returns:
+    The handler's response, or None if the caller disconnected first.
+  """
   async with curio.TaskGroup(wait=any) as group:
     work = await group.spawn(handler, request)
     await group.spawn(_wait_closed, sock)
@@ -170,7 +177,14 @@
 
 
 async def _read_in_time(sock, conn, limits: Limits, counts) -> Request | None:
-  """Reads a request; returns None when none comes in time."""
+  """Reads the next request within the time limits.
+
+  Returns:
+    The request, or None if the caller closed the connection.
+
+  Raises:
+    curio.TaskTimeout: the request did not arrive in time.
+  """
   if limits.idle_s is None:
     return await _read_request(sock, conn, limits.max_body, counts)
   if not conn.trailing_data[0]:
@@ -214,9 +228,9 @@
 
 
 class Server:
-  """An HTTP server on one address; `start` listens, `close` stops accepting.
+  """An HTTP server on one address.
 
-  Requests in flight when `close` is called are finished, not cut off.
+  `close` stops accepting connections; requests in flight are completed.
   """
 
   def __init__(
@@ -235,12 +249,12 @@
 
   @property
   def open_connections(self) -> int:
-    """How many caller connections are open now."""
+    """Number of open client connections."""
     return self._open
 
   @property
   def bytes_in_out(self) -> tuple[int, int]:
-    """Bytes of requests read and of responses sent so far."""
+    """Total bytes of requests received and of responses sent."""
     return self.counts[0], self.counts[1]
 
   async def start(self):
@@ -257,21 +271,21 @@
       self._open -= 1
 
   async def close(self):
-    """Stops accepting; connections already open run to their end."""
+    """Stops accepting connections; those already open are served further."""
     await self._listener.close()
 
 
-@functools.lru_cache(maxsize=REQUEST_HEADS)
+@functools.lru_cache(maxsize=REQUEST_HEAD_CACHE_SIZE)
 def _request_head(
     method: str, target: str, host: str, size: int, headers: tuple
 ) -> h11.Request:
-  """Returns a request's head; one that was sent before is used again."""
+  """Returns a validated request head, from the cache if it was sent before."""
   head = (("host", host), ("content-length", str(size)), *headers)
   return h11.Request(method=method, target=target, headers=head)
 
 
 class _ClientConnection:
-  """One kept-alive client connection; used by one request at a time."""
+  """A keep-alive client connection; it carries one request at a time."""
 
   def __init__(self, sock, host: str):
     self.sock = sock
@@ -286,7 +300,7 @@
     await self.sock.sendall(data)
     event = await _receive(self.sock, self.conn)
     if not isinstance(event, h11.Response):
-      raise LostReplyError(f"no response: {type(event).__name__}")
+      raise LostReplyError(f"expected a response, got {type(event).__name__}")
     status = event.status_code
     out_headers = tuple((k.decode(), v.decode()) for k, v in event.headers)
     payload = bytearray()
@@ -295,18 +309,22 @@
       if isinstance(part, h11.EndOfMessage):
         break
       if not isinstance(part, h11.Data):
-        raise LostReplyError("response cut off")
+        raise LostReplyError("response body truncated")
       payload += part.data
     return Response(status, bytes(payload), out_headers)
 
   def is_alive(self) -> bool:
-    """True unless the server closed the connection (or sent unasked)."""
+    """Returns False if the server closed the connection or sent stray data."""
     poller = select.poll()
     poller.register(self.sock.fileno(), select.POLLIN)
     return not poller.poll(0)
 
   def reusable(self) -> bool:
-    """Readies the connection for the next request, if it can take one."""
+    """Resets the connection for the next request, if possible.
+
+    Returns:
+      False if the connection cannot be used again.
+    """
     if (
         self.conn.our_state is not h11.DONE
         or self.conn.their_state is not h11.DONE
@@ -317,7 +335,7 @@
 
 
 class Pool:
-  """Kept-alive HTTP connections to one address, at most `limit` at once."""
+  """A pool of at most `limit` keep-alive HTTP connections to one address."""
 
   def __init__(
       self,
@@ -340,12 +358,12 @@
       headers=(),
       timeout_s: float = 30.0,
   ) -> Response:
-    """Sends one request and returns the whole response.
+    """Sends one request and returns the complete response.
 
     Raises:
-      NotSentError: the connection could not be made; the server saw nothing.
-      LostReplyError: the request may have been acted on, but no reply came in
-        `timeout_s` seconds or the connection broke.
+      NotSentError: no connection could be made, so nothing was sent.
+      LostReplyError: the connection failed or no complete response came within
+        `timeout_s` seconds; the server may have acted on the request.
     """
     async with self._limit:
       client = await self._connect()
@@ -381,11 +399,11 @@
           self._address.port,
       )
     except (OSError, curio.TaskTimeout) as exc:
-      raise NotSentError(f"connect {self._address}: {exc!r}") from exc
+      raise NotSentError(f"cannot connect to {self._address}: {exc!r}") from exc
     self._prepare(sock)
     return _ClientConnection(sock, str(self._address))
 
   async def close(self):
-    """Closes every idle connection; later requests open new ones."""
+    """Closes all idle connections; later requests open new ones."""
     while self._idle:
       await self._idle.pop().sock.close()
--- a/fescueturn/jobs.py
+++ b/fescueturn/jobs.py
@@ -22,7 +22,7 @@
 # Holders remember a claim this much longer than its answer is kept.
 CLAIM_KEEP_EXTRA_S = 60.0
 # A key that could not be claimed in the lease's time and this is refused.
-CLAIM_LIMIT_EXTRA_S = 1.0
+CLAIM_TIMEOUT_EXTRA_S = 1.0
 
 
 def handle_request(
@@ -52,8 +52,8 @@
 
 def _new_record(state, job: messages.Job, deadline: float):
   record = state_lib.JobRecord(job, deadline, state.next_number())
-  limit = state.limits.lease_ttl_s + CLAIM_LIMIT_EXTRA_S
-  record.claim_until = min(deadline, state.now + limit)
+  limit = state.limits.lease_ttl_s + CLAIM_TIMEOUT_EXTRA_S
+  record.claim_deadline = min(deadline, state.now + limit)
   state.jobs[job.key] = record
   state.counters["jobs"] += 1
   state.schedule(deadline, lambda s: _deadline(s, record))
@@ -149,7 +149,7 @@
 
 
 def _reply(record, waiter: state_lib.Waiter) -> events.SendOutcome:
-  answer = record.final
+  answer = record.final_answer
   request = waiter.request
   if not answer.tasks and isinstance(request, messages.Job):
     answer = answers.cancelled(request)
@@ -164,7 +164,7 @@
   if record.cancelled:
     return finish_job(state, record, answers.cancelled(record.job))
   team = state.team_settings(record.job.team)
-  if team is None or not state.endpoints.has(team.service):
+  if team is None or not state.endpoints.has_service(team.service):
     return fail_job(state, record, codes.Code.TASK_NOT_RUN_NO_ENDPOINT)
   job = record.job
   state.queue.add(job.team, job.key, (t.task_id for t in job.tasks))
@@ -176,7 +176,7 @@
     state: state_lib.EntryState, event: events.TaskFinished
 ) -> list:
   """Takes an endpoint's answer to one task."""
-  state.endpoints.finished(event.endpoint)
+  state.endpoints.record_finish(event.endpoint)
   record = state.jobs.get(event.key)
   if record is None or event.task_id not in record.in_flight:
     return dispatch.dispatch(state)
@@ -209,7 +209,7 @@
         event.task_id, codes.Code.TASK_NOT_RUN_REFUSED
     )
     return fail_job(state, record, codes.Code.TASK_NOT_RUN_JOB_FAILED)
-  state.queue.add_first(record.job.team, record.job.key, event.task_id)
+  state.queue.requeue(record.job.team, record.job.key, event.task_id)
   return []
 
 
@@ -230,7 +230,7 @@
 def finish_job(state, record, answer: messages.JobAnswer) -> list:
   """Gives the final answer to every waiter, keeps it and copies it."""
   claimed = record.phase is state_lib.Phase.RUNNING
-  record.final = answer
+  record.final_answer = answer
   record.phase = state_lib.Phase.DONE
   effects = [_reply(record, w) for w in record.waiters]
   record.waiters.clear()
@@ -277,7 +277,7 @@
       owner=state.me,
       number=record.number,
       keep_s=keep_s,
-      answer=record.final,
+      answer=record.final_answer,
   )
 
 
--- a/fescueturn/kvtypes.py
+++ b/fescueturn/kvtypes.py
@@ -1,6 +1,7 @@
-"""What the platform's key-value store holds and takes, and the client's shape.
+"""Types of the platform's key-value store and the interface of its client.
 
-The product sees the store through `Store`; `platform.store` speaks its wire.
+The package uses the store through `Store`; `platform.store` implements it over
+the platform's HTTP interface.
 """
 
 import dataclasses
@@ -13,12 +14,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Item:
-  """A key's value; `value` is None once the key is removed.
+  """A key and its value, or the removal of a key.
 
   Attributes:
-    key: its name.
-    revision: the store's when it was written last.
-    value: its bytes.
+    key: the key's name.
+    revision: the store's revision at the key's last change.
+    value: the value's bytes; None if the key was removed.
   """
 
   key: str
@@ -28,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-  """What a watch or a range returned, up to the store's `revision`."""
+  """The result of a read or a watch, complete up to the store's `revision`."""
 
   revision: int
   items: tuple[Item, ...]
@@ -36,14 +37,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Transaction:
-  """Changes made all or none.
+  """A conditional set of changes that is applied atomically.
 
   Attributes:
-    expected: the revision of each key that must hold; 0: no such key.
-    puts: values to write.
+    expected: conditions: the revision that each key must have; 0 means that
+      the key must not exist.
+    puts: values to write, by key; attached to `lease`.
     removes: keys to remove.
-    lease: what holds the written keys; 0 for nothing.
-    lasting: values to write that no lease holds.
+    lease: the lease whose end removes the keys in `puts`; 0 for none.
+    lasting: values to write, by key, that are not attached to the lease.
   """
 
   expected: Mapping[str, int] = dataclasses.field(default_factory=dict)
@@ -54,18 +56,19 @@
 
 
 class HistoryGoneError(errors.KvError):
-  """The store has dropped the history a watch asked for: read anew."""
+  """The history that a watch needs was compacted; read the keys again."""
 
 
 class LeaseGoneError(errors.KvError):
-  """The lease has ended, or never was."""
+  """The lease has expired, was revoked or never existed."""
 
 
 class ConflictError(errors.KvConflictError):
-  """A condition of a transaction did not hold: nothing was done.
+  """A condition of a transaction failed, so no change was applied.
 
   Attributes:
-    items: the keys of all its conditions that exist, by name.
+    items: the current items of the keys in its conditions, by key; keys that
+      do not exist are absent.
   """
 
   def __init__(self, message: str, items: tuple[Item, ...] = ()):
@@ -74,32 +77,35 @@
 
 
 class Store(Protocol):
-  """A client of the store.
+  """Interface of the store's client.
 
-  Every failure is an `errors.KvError`; of one that is none of the above
-  nothing says whether the call was, or will be, carried out.
+  All failures are raised as `errors.KvError`. Unless the error is one of the
+  subclasses above, the call may have taken effect, or may do so later.
   """
 
   async def get(self, key: str) -> Changes:
-    """Returns a key's item, if there is one, and the store's revision."""
+    """Returns the key's item, if it exists, and the store's revision."""
 
   async def range(self, prefix: str) -> Changes:
     """Returns all items under `prefix`."""
 
   async def watch(self, prefix: str, after: int, wait_ms: int) -> Changes:
-    """Returns what changed under `prefix` since revision `after`."""
+    """Returns changes under `prefix` after revision `after`.
+
+    Waits up to `wait_ms` milliseconds for a change.
+    """
 
   async def transact(self, wanted: Transaction) -> int:
-    """Makes changes, all or none; returns the store's new revision."""
+    """Applies the changes atomically; returns the store's new revision."""
 
   async def grant(self, ttl_ms: int) -> int:
-    """Returns a new lease of `ttl_ms`."""
+    """Returns the id of a new lease that expires after `ttl_ms`."""
 
   async def keep_alive(self, lease: int):
-    """Renews a lease."""
+    """Renews the lease for its full duration."""
 
   async def revoke(self, lease: int):
-    """Ends a lease; its keys are removed."""
+    """Revokes the lease, which removes the keys attached to it."""
 
   async def close(self):
     """Closes idle connections."""
@@ -110,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class HostRecord:
-  """An endpoint on the product's own list of hosts."""
+  """An endpoint's entry in the host list that the store keeps."""
 
   name: str
   address: str
@@ -121,23 +127,23 @@
 
   @property
   def key(self) -> str:
-    """Where the store has it."""
+    """The record's key in the store."""
     return HOSTS_PREFIX + self.name
 
   def encode(self) -> bytes:
-    """Returns its value in the store."""
+    """Returns the record as it is stored."""
     return json.dumps(dataclasses.asdict(self)).encode()
 
 
 def decode_host(value: bytes) -> HostRecord:
-  """Returns the host in an item's value.
+  """Returns the host record in a stored value.
 
   Raises:
-    errors.SettingsError: it is none.
+    errors.SettingsError: the value is not a valid host record.
   """
   try:
     raw = json.loads(value)
     raw["services"] = tuple(raw.get("services", ()))
     return HostRecord(**raw)
   except (TypeError, ValueError, AttributeError) as exc:
-    raise errors.SettingsError(f"host record: {exc!r}") from exc
+    raise errors.SettingsError(f"invalid host record: {exc!r}") from exc
--- a/fescueturn/lab/demo.py
+++ b/fescueturn/lab/demo.py
@@ -23,7 +23,7 @@
 
 ROUND_TRIP_MS = 1.0
 CONCURRENT_JOBS = 16
-RESUBMITTED = 4
+RESUBMITTED_JOBS = 4
 HISTOGRAM_MAX_MS = 600_000
 
 
@@ -119,7 +119,7 @@
   )
 
 
-async def gather_counts(cluster: launcher.Launcher) -> dict[str, int]:
+async def sum_counts(cluster: launcher.Launcher) -> dict[str, int]:
   """Sums task sends, forwards and starts over the data centre's daemons."""
   counts = {"sends": 0, "forwarded": 0, "starts": 0, "duplicate_starts": 0}
   for name in cluster.names("entry"):
@@ -135,7 +135,7 @@
   return counts
 
 
-async def platform_calls(cluster: launcher.Launcher) -> int:
+async def count_platform_calls(cluster: launcher.Launcher) -> int:
   """Returns the platform stand-in's total call count so far."""
   kv = control.PlatformControl(cluster.platform)
   try:
@@ -168,7 +168,7 @@
       f"requests passed to another entry host {counts['forwarded']}; KV calls during the run {kv_calls} ({kv_calls / max(1, jobs):.2f} per job, leases and watches included)"
   )
   print(
-      f"resubmitted under the same key: {resubmits_ok}/{RESUBMITTED} got the same answer with no new start"
+      f"resubmitted under the same key: {resubmits_ok}/{RESUBMITTED_JOBS} got the same answer with no new start"
   )
 
 
@@ -180,12 +180,12 @@
         httpio.Pool(cluster.daemons[n].listen) for n in cluster.names("entry")
     ]
     jobs = workload.make_jobs(seed, per_team, max_tasks)
-    calls_before = await platform_calls(cluster)
+    calls_before = await count_platform_calls(cluster)
     outcomes = await run_jobs(entries, jobs, time.monotonic)
-    kv_calls = await platform_calls(cluster) - calls_before
-    counts = await gather_counts(cluster)
+    kv_calls = await count_platform_calls(cluster) - calls_before
+    counts = await sum_counts(cluster)
     resubmits_ok = await _resubmit(
-        entries, outcomes[:RESUBMITTED], cluster, counts
+        entries, outcomes[:RESUBMITTED_JOBS], cluster, counts
     )
     reports = [
         team_report(t, outcomes)
@@ -194,7 +194,8 @@
     tasks = sum(len(j.tasks) for j in jobs)
     print_table(reports, counts, tasks, kv_calls, len(jobs), resubmits_ok)
     all_whole = (
-        all(o.fully_answered for o in outcomes) and resubmits_ok == RESUBMITTED
+        all(o.fully_answered for o in outcomes)
+        and resubmits_ok == RESUBMITTED_JOBS
     )
     return 0 if all_whole else 1
   finally:
@@ -210,7 +211,7 @@
     )
     if result.answer == outcome.result.answer:
       same += 1
-  after = await gather_counts(cluster)
+  after = await sum_counts(cluster)
   if after["starts"] != counts["starts"]:
     return 0
   return same
--- a/fescueturn/lab/launcher.py
+++ b/fescueturn/lab/launcher.py
@@ -21,9 +21,9 @@
 from fescueturn.lab import workload
 from fescueturn.platform import store
 
-READY_POLLS = 200
+MAX_READY_POLLS = 200
 READY_POLL_S = 0.05
-STOP_WAIT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 
 TEAM_SETTINGS = {
     workload.ALTAMAHA: "[team]\nservice = speller\nmax_tasks_per_job = 190\nmax_tasks_in_flight = 2000\ndeadline_ms = 15000\n",
@@ -139,7 +139,7 @@
 
   async def _wait_ready(self, name: str, path: str, check=lambda body: True):
     seen = "no answer"
-    for _ in range(READY_POLLS):
+    for _ in range(MAX_READY_POLLS):
       try:
         response = await self.get(name, path)
         seen = response.body.decode()
@@ -175,9 +175,9 @@
     """
     self._popen[name].send_signal(sig)
     if sig == signal.SIGKILL:
-      self._popen[name].wait(STOP_WAIT_S)
+      self._popen[name].wait(STOP_TIMEOUT_S)
 
-  def wait(self, name: str, timeout_s: float = STOP_WAIT_S) -> int:
+  def wait(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
     """Waits for one daemon to exit; returns its exit code."""
     return self._popen[name].wait(timeout_s)
 
@@ -205,7 +205,7 @@
         if popen is None:
           continue
         try:
-          popen.wait(STOP_WAIT_S)
+          popen.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
           popen.kill()
           popen.wait()
--- a/fescueturn/listener.py
+++ b/fescueturn/listener.py
@@ -1,4 +1,4 @@
-"""Accepting TCP connections on one address, each served by its own task."""
+"""TCP listener that serves each connection in its own task; socket options."""
 
 import socket
 from collections.abc import Awaitable
@@ -9,21 +9,25 @@
 
 from fescueturn import settings
 
-# How long a peer may leave data or keep-alive probes unacknowledged: round
-# trips take 0.2 to 7 ms, and a longer pause is an outage to work around.
+# A connection fails when the peer leaves data or keep-alive probes
+# unacknowledged for this long. Round trips take 0.2 to 7 ms, so a longer
+# silence is an outage.
 USER_TIMEOUT_MS = 1500
-# The shortest keep-alive period there is, so that a connection without traffic
-# is found dead within two seconds.
+# The shortest period that TCP allows, so that an idle connection is found dead
+# within two seconds.
 KEEPALIVE_S = 1
 
 
 def no_delay(sock):
-  """Has small messages sent at once (TCP_NODELAY)."""
+  """Disables Nagle's algorithm so that small messages are sent immediately."""
   sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def enable_dead_peer_detection(sock):
-  """Sends at once, and gives up a peer that is silent (`USER_TIMEOUT_MS`)."""
+  """Makes the connection fail soon when the peer stops acknowledging.
+
+  Also disables Nagle's algorithm; see `USER_TIMEOUT_MS` and `KEEPALIVE_S`.
+  """
   no_delay(sock)
   sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
   sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -33,9 +37,9 @@
 
 
 class Listener:
-  """Listens on one address; `start` begins, `close` stops accepting.
+  """Listens on one address and serves each connection in its own task.
 
-  Connections accepted before `close` run to their end.
+  Connections accepted before `close` are served until they end.
   """
 
   def __init__(
@@ -46,14 +50,14 @@
     self._address = address
     self._serve = serve
     self._sock = None
-    self._accepter = None
+    self._accept_task = None
 
   async def start(self):
     """Binds the address and starts accepting connections."""
     self._sock = curio.network.tcp_server_socket(
         self._address.host, self._address.port, reuse_address=True
     )
-    self._accepter = await curio.spawn(self._accept_loop, daemon=True)
+    self._accept_task = await curio.spawn(self._accept_loop, daemon=True)
 
   async def _accept_loop(self):
     while True:
@@ -63,9 +67,9 @@
 
   async def close(self):
     """Stops accepting connections."""
-    if self._accepter is not None:
-      await self._accepter.cancel()
-      self._accepter = None
+    if self._accept_task is not None:
+      await self._accept_task.cancel()
+      self._accept_task = None
     if self._sock is not None:
       await self._sock.close()
       self._sock = None
--- a/fescueturn/logs.py
+++ b/fescueturn/logs.py
@@ -1,8 +1,8 @@
-"""Logging setup: loguru, one line of key=value pairs per event.
+"""Logging setup: loguru, one line of ``key=value`` pairs per event.
 
 `BoundedSink` is for daemons under load: it writes to standard output without
-ever waiting for its reader, and leaves lines out above a rate, saying how many
-of which event.
+blocking, drops lines above a rate limit and reports how many of each event it
+dropped.
 """
 
 import collections
@@ -16,87 +16,93 @@
 from loguru import logger
 
 LINE_FORMAT = "ts={time:YYYY-MM-DDTHH:mm:ss.SSSSSSZ} level={level} proc={extra[proc]} {message}"
-# Four lines a job at 75 jobs a second, twice today's busiest host; at 40 us a
-# line (measured with loguru 0.7) it is 1.2% of a core.
+# Rate limit: four lines per job at 75 jobs per second, twice the load of the
+# busiest host. At 40 us per line (loguru 0.7) this takes 1.2% of a core.
 LINES_PER_S = 300
-# A burst after a quiet second: a takeover writes some 40 lines at once.
+# Size of the token bucket; a takeover writes about 40 lines at once.
 BURST_LINES = 600
-# Warnings and worse have as much again of their own.
-SEVERE_NO = 30
-# What waits for a reader that has stopped reading; a pipe holds 64 KB more.
-MAX_WAITING_BYTES = 256 * 1024
+# loguru's number for WARNING. Lines from this level on have a bucket of their
+# own, of the same rate and size, so that other lines cannot crowd them out.
+WARNING_LEVEL_NO = 30
+# Limit of the lines that are buffered while the reader does not read; the pipe
+# itself holds another 64 KB.
+MAX_BUFFER_BYTES = 256 * 1024
 REPORT_PERIOD_S = 1.0
 
 
-class _Budget:
-  """Lines that may be written: refilled at a steady rate."""
+class _TokenBucket:
+  """Token bucket of lines: `LINES_PER_S` refilled, `BURST_LINES` at most."""
 
   def __init__(self, now: float):
-    self._left = float(BURST_LINES)
-    self._at = now
+    self._tokens = float(BURST_LINES)
+    self._updated_at = now
 
   def take(self, now: float) -> bool:
-    """Takes one line's worth; returns False if there is none."""
-    refilled = self._left + (now - self._at) * LINES_PER_S
-    self._left = min(float(BURST_LINES), refilled)
-    self._at = now
-    if self._left < 1:
+    """Takes the token of one line; returns False if none is left."""
+    refilled = self._tokens + (now - self._updated_at) * LINES_PER_S
+    self._tokens = min(float(BURST_LINES), refilled)
+    self._updated_at = now
+    if self._tokens < 1:
       return False
-    self._left -= 1
+    self._tokens -= 1
     return True
 
 
 class BoundedSink:
-  """A loguru sink on a file descriptor that it never blocks on."""
+  """A loguru sink that writes to a file descriptor without blocking."""
 
   def __init__(self, fd: int, now: Callable[[], float] = time.monotonic):
     self._fd = fd
     self._now = now
-    self._usual = _Budget(now())
-    self._severe = _Budget(now())
-    self._waiting = bytearray()
-    self._left_out: collections.Counter[str] = collections.Counter()
+    self._normal_bucket = _TokenBucket(now())
+    self._warning_bucket = _TokenBucket(now())
+    self._buffer = bytearray()
+    self._dropped: collections.Counter[str] = collections.Counter()
     self._reported_at = now()
     os.set_blocking(fd, False)
 
   @property
   def dropped_lines(self) -> int:
-    """Lines left out since the last report of them."""
-    return self._left_out.total()
+    """Number of lines dropped since the last report."""
+    return self._dropped.total()
 
   def write(self, message):
-    """Takes one formatted line from loguru."""
+    """Writes, buffers or drops one line that loguru has formatted."""
     now = self._now()
     record = message.record
-    budget = self._severe if record["level"].no >= SEVERE_NO else self._usual
-    if budget.take(now) and len(self._waiting) < MAX_WAITING_BYTES:
-      self._waiting += str(message).encode()
+    bucket = (
+        self._warning_bucket
+        if record["level"].no >= WARNING_LEVEL_NO
+        else self._normal_bucket
+    )
+    if bucket.take(now) and len(self._buffer) < MAX_BUFFER_BYTES:
+      self._buffer += str(message).encode()
     else:
-      self._left_out[_event_of(record["message"])] += 1
+      self._dropped[_event_of(record["message"])] += 1
     self._flush()
 
   def tick(self, now: float):
-    """Writes what waits, and once a second what was left out."""
+    """Writes buffered lines and, once per second, the count of dropped ones."""
     self._flush()
-    if not self._left_out or now - self._reported_at < REPORT_PERIOD_S:
+    if not self._dropped or now - self._reported_at < REPORT_PERIOD_S:
       return
     self._reported_at = now
-    counts = ",".join(f"{k}:{n}" for k, n in sorted(self._left_out.items()))
+    counts = ",".join(f"{k}:{n}" for k, n in sorted(self._dropped.items()))
     line = f"event=log_left_out lines={self.dropped_lines} by_event={counts}\n"
-    if len(self._waiting) < MAX_WAITING_BYTES:
-      self._left_out.clear()
-      self._waiting += line.encode()
+    if len(self._buffer) < MAX_BUFFER_BYTES:
+      self._dropped.clear()
+      self._buffer += line.encode()
       self._flush()
 
   def _flush(self):
     try:
-      while self._waiting:
-        del self._waiting[: os.write(self._fd, self._waiting)]
+      while self._buffer:
+        del self._buffer[: os.write(self._fd, self._buffer)]
     except BlockingIOError:
-      return  # Nobody reads now; the rest waits, up to its limit.
+      return  # The pipe is full; the rest stays in the buffer.
     except OSError:
-      # The reader is gone for good: there is nowhere left to say so.
-      self._waiting.clear()
+      # The reader has closed the pipe, so this cannot be reported anywhere.
+      self._buffer.clear()
 
 
 def _event_of(message: str) -> str:
@@ -104,15 +110,15 @@
   return first.removeprefix("event=")
 
 
-class _LibraryLines(logging.Handler):
-  """Has what libraries log written by loguru: one line, bounded like ours.
+class _LibraryLogHandler(logging.Handler):
+  """Passes libraries' log records to loguru, as one rate-limited line each.
 
-  curio warns of each timeout that it noticed late, up to a hundred in a second
-  on a host that lacks processor.
+  Records below ERROR become INFO: curio warns of each timeout that it notices
+  late, up to a hundred times per second on a host short of CPU.
   """
 
   def emit(self, record: logging.LogRecord):
-    """Writes one record."""
+    """Logs one record through loguru."""
     said = json.dumps(record.getMessage())
     severe = record.levelno >= logging.ERROR
     logger.log(
@@ -124,22 +130,26 @@
 
 
 def setup(process_name: str, level: str = "INFO") -> None:
-  """Sends this process's log lines to stderr, each tagged with its name."""
+  """Logs to standard error, each line tagged with the process's name."""
   replace_sink(sys.stderr, process_name, level)
 
 
 def setup_bounded(process_name: str, level: str = "INFO") -> BoundedSink:
-  """Sends log lines to standard output, bounded; call the sink's `tick`."""
+  """Logs to standard output through a `BoundedSink`.
+
+  Returns:
+    The sink, whose `tick` must be called regularly.
+  """
   sink = BoundedSink(sys.stdout.fileno())
   replace_sink(sink.write, process_name, level)
   return sink
 
 
 def replace_sink(sink, process_name: str, level: str):
-  """Sends log lines to `sink` alone, each tagged with the process's name."""
+  """Makes `sink` the only log sink; lines are tagged with `process_name`."""
   logger.remove()
   logger.configure(extra={"proc": process_name})
   logger.add(
       sink, level=level, format=LINE_FORMAT, backtrace=False, diagnose=False
   )
-  logging.root.handlers = [_LibraryLines()]
+  logging.root.handlers = [_LibraryLogHandler()]
--- a/fescueturn/membership.py
+++ b/fescueturn/membership.py
@@ -1,17 +1,16 @@
 """Loops that keep an entry host's view of the platform up to date.
 
-* `LeaseKeeper` holds this entry host's member key under a lease and renews
-  it, so peers see it while it lives and stop seeing it when it dies.
-* `members_loop` follows the data centre's member keys, change by change in
-  the platform's order.
-* `teams_loop` follows the team settings; many changes in a row cost one
-  call every `pause_s`.
-* `hosts_loop` polls the platform's host list for this data centre's
-  endpoints.
-
-Every loop survives platform outages: it keeps the last view, backs off and
-tries again. A data centre cut off from the platform goes on with what it
-knew.
+* `LeaseKeeper` writes this entry host's member key under a lease and renews the
+  lease. When the process dies the lease expires, and peers see it leave.
+* `members_loop` watches the data centre's member keys and applies each change
+  in the platform's order.
+* `teams_loop` watches the team settings; a series of changes costs one call
+  every `pause_s`.
+* `hosts_loop` polls the platform's host list for this data centre's endpoints.
+
+All loops survive outages of the platform: they keep the last view and retry
+with backoff. A data centre that is partitioned from the platform continues with
+its last view.
 """
 
 import dataclasses
@@ -34,11 +33,11 @@
 BACKOFF_MIN_S = 0.1
 BACKOFF_MAX_S = 2.0
 RENEWALS_PER_TTL = 3
-# A waiting watch is one call: 0.1 calls a second while nothing changes.
+# Long-poll duration: 0.1 calls per second while nothing changes.
 WATCH_MS = 10_000
-# Settings must be in force everywhere within 5 s, also where the platform has
-# swallowed a watch: these, the client's 1 s of slack and the pause after a change
-# (1 s) stay below that.
+# Settings must take effect everywhere within 5 s, also when the platform never
+# answers a watch: these two, the client's 1 s of slack and the pause of 1 s
+# after a change must add up to less.
 SETTINGS_WATCH_MS = 2000
 SETTINGS_BACKOFF_MAX_S = 0.3
 
@@ -46,22 +45,22 @@
 
 
 def members_prefix(data_centre: str) -> str:
-  """Returns the KV prefix of a data centre's member keys."""
+  """Returns the key prefix of a data centre's member keys."""
   return f"{MEMBERS_PREFIX}{data_centre}/"
 
 
 def member_key(data_centre: str, name: str) -> str:
-  """Returns the KV key that holds an entry host's membership."""
+  """Returns the member key of an entry host."""
   return members_prefix(data_centre) + name
 
 
 def team_key(team: str) -> str:
-  """Returns the KV key that holds a team's settings."""
+  """Returns the key that holds a team's settings."""
   return f"{TEAMS_PREFIX}{team}{TEAM_SETTINGS_LEAF}"
 
 
 def team_of(key: str) -> str | None:
-  """Returns the team whose settings `key` holds, or None."""
+  """Returns the team whose settings are at `key`, or None for other keys."""
   if not (key.startswith(TEAMS_PREFIX) and key.endswith(TEAM_SETTINGS_LEAF)):
     return None
   team = key[len(TEAMS_PREFIX) : -len(TEAM_SETTINGS_LEAF)]
@@ -69,7 +68,7 @@
 
 
 def member_value(member: events.Member) -> bytes:
-  """Returns what is kept at an entry host's member key."""
+  """Returns the value that is stored at an entry host's member key."""
   return json.dumps(
       {
           "peer": str(member.peer),
@@ -82,7 +81,7 @@
 
 
 def parse_member(key: str, value: bytes) -> events.Member | None:
-  """Reads a member key's value; None (and a log line) if it is not one."""
+  """Parses a member key's value; logs an invalid one and returns None."""
   try:
     body = json.loads(value)
     return events.Member(
@@ -99,7 +98,7 @@
 
 
 class Backoff:
-  """Jittered exponential back-off between failed platform calls."""
+  """Exponential backoff with jitter between failed platform calls."""
 
   def __init__(self, rng: random.Random, max_s: float = BACKOFF_MAX_S):
     self._rng = rng
@@ -107,12 +106,12 @@
     self._delay = BACKOFF_MIN_S
 
   async def wait(self):
-    """Sleeps for the next delay, with jitter, and doubles it."""
+    """Sleeps for the current delay with jitter, then doubles the delay."""
     await curio.sleep(self._delay * (0.5 + self._rng.random()))
     self._delay = min(self._max_s, self._delay * 2)
 
   def reset(self):
-    """Goes back to the shortest delay after a success."""
+    """Resets the delay to its minimum, after a success."""
     self._delay = BACKOFF_MIN_S
 
 
@@ -134,18 +133,21 @@
     self._now = now
     self._lease = 0
     self._written = False
-    self._stopped = False
+    self._withdrawn = False
 
   @property
   def lease(self) -> int:
-    """The lease id now held, or 0."""
+    """Id of the current lease, or 0."""
     return self._lease
 
   async def run(self, apply: Apply, backoff: Backoff):
-    """Grants, writes and renews until `withdraw`; never raises KvError."""
-    while not self._stopped:
+    """Keeps the lease and the member key in place until `withdraw`.
+
+    Retries after `errors.KvError` with `backoff`.
+    """
+    while not self._withdrawn:
       try:
-        await apply(await self._renew())
+        await apply(await self._renew_or_grant())
         if not self._written:
           await self._write()
         backoff.reset()
@@ -156,17 +158,21 @@
         )
         await backoff.wait()
 
-  async def _renew(self) -> events.LeaseRenewed:
-    """Renews the lease, or grants a new one; its time runs from the asking."""
-    asked_at = self._now()
-    if not self._lease or not await self._kept():
+  async def _renew_or_grant(self) -> events.LeaseRenewed:
+    """Renews the lease, or acquires a new one if it has ended.
+
+    The returned expiry is counted from before the call was sent, so it is never
+    later than the store's.
+    """
+    sent_at = self._now()
+    if not self._lease or not await self._renew_existing():
       self._written = False
-      asked_at = self._now()
+      sent_at = self._now()
       self._lease = await self._kv.grant(int(self._ttl_s * 1000))
-    return events.LeaseRenewed(self._lease, asked_at + self._ttl_s)
+    return events.LeaseRenewed(self._lease, sent_at + self._ttl_s)
 
-  async def _kept(self) -> bool:
-    """Renews the lease; returns whether it had not ended."""
+  async def _renew_existing(self) -> bool:
+    """Renews the lease; returns False if it has ended."""
     try:
       await self._kv.keep_alive(self._lease)
     except kvtypes.LeaseGoneError:
@@ -174,13 +180,16 @@
     return True
 
   async def _write(self):
-    """Writes the member key under the lease, as often as a reply is lost."""
+    """Writes the member key under the lease.
+
+    The write is idempotent; `run` repeats it after a lost reply.
+    """
     member = dataclasses.replace(self._member, lease=self._lease)
     puts = {self._key: member_value(member)}
     try:
       await self._kv.transact(kvtypes.Transaction({}, puts, (), self._lease))
     except kvtypes.LeaseGoneError:
-      self._lease = 0  # It lapsed before the write.
+      self._lease = 0  # It expired before the write.
       raise
     self._written = True
     logger.info(
@@ -191,18 +200,18 @@
     )
 
   async def leave(self):
-    """Marks this entry host as leaving, so peers hold its claims elsewhere."""
+    """Marks this entry host as leaving; peers then place claims elsewhere."""
     self._member = dataclasses.replace(self._member, leaving=True)
     self._written = False
     try:
       if self._lease:
         await self._write()
-    except errors.KvError as exc:  # `run` tries again.
+    except errors.KvError as exc:  # `run` retries.
       logger.warning("event=leave_unwritten error={!r}", exc)
 
   async def withdraw(self):
-    """Stops renewing and revokes the lease: this entry host is gone."""
-    self._stopped = True
+    """Stops renewing and revokes the lease, which removes the member key."""
+    self._withdrawn = True
     if self._lease:
       try:
         await self._kv.revoke(self._lease)
@@ -213,7 +222,7 @@
 async def members_loop(
     kv: kvtypes.Store, data_centre: str, apply: Apply, backoff: Backoff
 ):
-  """Feeds `MembersChanged` to `apply`, one event a change, forever."""
+  """Watches member keys; passes `MembersChanged` to `apply` for each change."""
   prefix = members_prefix(data_centre)
   members: dict[str, events.Member] = {}
   revision = None
@@ -230,7 +239,7 @@
     except errors.KvError as exc:
       logger.warning("event=members_watch_failed error={!r}", exc)
       if isinstance(exc, kvtypes.HistoryGoneError):
-        revision = None  # Read afresh.
+        revision = None  # Read all keys again.
       await backoff.wait()
       continue
     for change in changes.items:
@@ -267,7 +276,7 @@
 async def teams_loop(
     kv: kvtypes.Store, apply: Apply, backoff: Backoff, pause_s: float
 ):
-  """Feeds `TeamChanged` events to `apply` forever."""
+  """Watches team settings; passes `TeamChanged` to `apply` for each change."""
   known: set[str] = set()
   revision = None
   while True:
@@ -294,7 +303,7 @@
 
 
 async def _read_teams(kv, known: set[str]) -> kvtypes.Changes:
-  """Reads every team afresh; teams known before and gone now are removals."""
+  """Reads all teams; adds a removal for each of `known` that is now missing."""
   found = await kv.range(TEAMS_PREFIX)
   gone = known - {item.key for item in found.items}
   removals = [kvtypes.Item(key, found.revision, None) for key in sorted(gone)]
@@ -318,7 +327,7 @@
     backoff: Backoff,
     poll_s: float,
 ):
-  """Polls the host list; feeds `EndpointsChanged` when the view changes."""
+  """Polls the host list; passes `EndpointsChanged` to `apply` if it changed."""
   last = None
   while True:
     try:
@@ -329,8 +338,8 @@
       await backoff.wait()
       continue
     hosts = [kvtypes.decode_host(item.value) for item in found.items]
-    mine = tuple(_endpoint(h) for h in hosts if h.data_centre == data_centre)
-    if mine != last:
-      await apply(events.EndpointsChanged(mine))
-      last = mine
+    local = tuple(_endpoint(h) for h in hosts if h.data_centre == data_centre)
+    if local != last:
+      await apply(events.EndpointsChanged(local))
+      last = local
     await curio.sleep(poll_s)
--- a/fescueturn/messages.py
+++ b/fescueturn/messages.py
@@ -1,8 +1,8 @@
-"""Typed messages between callers, entry hosts and endpoints.
+"""Jobs, tasks and answers, and their JSON forms in the callers' interface.
 
-Callers speak JSON over HTTP; this module turns that JSON into frozen
-dataclasses, checking every field, and back. A refusal raises
-`errors.BadRequestError` with a numbered code before anything starts.
+Callers send JSON over HTTP. This module validates it and converts it to frozen
+dataclasses, and converts answers back to JSON. Invalid input raises
+`errors.BadRequestError` with a numbered code before any task is started.
 """
 
 import dataclasses
@@ -24,9 +24,10 @@
 
   Attributes:
     task_id: unique within the job.
-    kind: what the endpoint should do (``spell``, ``fuel_release``, ...).
+    kind: the operation that the endpoint runs (``spell``, ``fuel_release``,
+      ...).
     payload: the task's input text.
-    run_ms: the run time the caller declares, in milliseconds.
+    run_ms: the run time that the caller declares, in milliseconds.
     idempotent: False for tasks that must run at most once.
   """
 
@@ -43,11 +44,13 @@
 
   Attributes:
     team: the team that owns the job; must have settings in the platform.
-    job_id: the caller's name for the job.
+    job_id: the caller's identifier of the job.
     key: the caller's idempotency key; retries of the job reuse it.
     tasks: the tasks, in the caller's order.
-    fingerprint: hex SHA-256 of the canonical job, to refuse key reuse.
-    deadline_ms: how long the caller will wait, or 0 for the team default.
+    fingerprint: hex SHA-256 of the job's canonical JSON; detects that a key is
+      reused for another job.
+    deadline_ms: how long the caller waits, in milliseconds; 0 for the team's
+      default.
   """
 
   team: str
@@ -60,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cancel:
-  """A caller's cancellation of the job under an idempotency key."""
+  """A caller's cancellation of the job with an idempotency key."""
 
   team: str
   key: str
@@ -68,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TaskAnswer:
-  """The final word on one task: its code, whether it ran, its result."""
+  """The final outcome of one task: its code and result."""
 
   task_id: str
   code: codes.Code
@@ -76,20 +79,20 @@
 
   @property
   def ran(self) -> codes.Ran:
-    """Whether the task ran, derived from its code."""
+    """Whether the task ran, according to its code."""
     return codes.task_ran(self.code)
 
 
 @dataclasses.dataclass(frozen=True)
 class JobAnswer:
-  """The whole answer to a job: complete, or failed with every task's code.
+  """The answer to a job: complete, or failed with a code for each task.
 
   Attributes:
     key: the idempotency key the answer belongs to.
     job_id: the caller's job id.
     code: `Code.JOB_COMPLETE`, `Code.JOB_FAILED`, or `Code.JOB_CANCELLED`.
     tasks: one answer per task of the job, in the job's order.
-    retry_after_s: for a failed job, when the caller may come back.
+    retry_after_s: for a failed job, seconds after which the caller may retry.
   """
 
   key: str
@@ -100,7 +103,7 @@
 
   @property
   def complete(self) -> bool:
-    """True when every task ran to its result."""
+    """Whether every task ran and returned its result."""
     return self.code == codes.Code.JOB_COMPLETE
 
 
@@ -115,7 +118,7 @@
   return value
 
 
-def _ident(obj: dict[str, Any], name: str, where: str) -> str:
+def _identifier(obj: dict[str, Any], name: str, where: str) -> str:
   value = _field(obj, name, str, where)
   if not value or len(value) > MAX_ID_LENGTH:
     raise errors.BadRequestError(f"{where}.{name}: 1 to {MAX_ID_LENGTH} chars")
@@ -136,8 +139,8 @@
   if not isinstance(idempotent, bool):
     raise errors.BadRequestError(f"{where}.idempotent: expected bool")
   return Task(
-      task_id=_ident(obj, "id", where),
-      kind=_ident(obj, "kind", where),
+      task_id=_identifier(obj, "id", where),
+      kind=_identifier(obj, "kind", where),
       payload=payload,
       run_ms=run_ms,
       idempotent=idempotent,
@@ -151,7 +154,7 @@
 
 
 def parse_job(data: bytes, key: str) -> Job:
-  """Checks a caller's JSON job body.
+  """Parses and validates the JSON body of a caller's job.
 
   Args:
     data: the HTTP body, UTF-8 JSON:
@@ -160,10 +163,11 @@
     key: the ``Idempotency-Key`` header's value.
 
   Returns:
-    The checked `Job`.
+    The validated `Job`.
 
   Raises:
-    errors.BadRequestError: code 200 for bad JSON, 201 for a bad field.
+    errors.BadRequestError: code 200 for invalid JSON, 201 for an invalid
+      field.
   """
   try:
     body = json.loads(data)
@@ -183,8 +187,8 @@
   if not isinstance(deadline_ms, int) or deadline_ms < 0:
     raise errors.BadRequestError("job.deadline_ms: expected int >= 0")
   return Job(
-      team=_ident(body, "team", "job"),
-      job_id=_ident(body, "job_id", "job"),
+      team=_identifier(body, "team", "job"),
+      job_id=_identifier(body, "job_id", "job"),
       key=key,
       tasks=tasks,
       fingerprint=fingerprint(body),
@@ -234,7 +238,7 @@
 
 
 def answer_from_json(obj: dict[str, Any]) -> JobAnswer:
-  """Reads a job's answer from its JSON form (as `answer_to_json` wrote)."""
+  """Returns the answer in a JSON form (the inverse of `answer_to_json`)."""
   return JobAnswer(
       key=obj["key"],
       job_id=obj["job_id"],
@@ -248,7 +252,7 @@
 
 
 def error_to_json(error: errors.FescueError) -> dict[str, Any]:
-  """Returns the JSON body of a refusal: its code, name and message."""
+  """Returns the JSON body of an error: its code, name and message."""
   return {
       "code": int(error.code),
       "error": error.code.name,
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -17,7 +17,7 @@
 PROBE_TIMEOUT_S = 2.0
 # With this share of its lease left, a host has missed a renewal (the lease is
 # renewed three times in its time): the platform does not answer it.
-OVERDUE_SHARE = 0.4
+RENEWAL_OVERDUE_SHARE = 0.4
 
 
 def answer_claim(
@@ -28,7 +28,7 @@
   claim = request.claim
   if membership.view is None or request.view != membership.view.digest:
     return claims.ClaimReply(claims.Verdict.STALE_VIEW)
-  if not membership.may_hold(state.now):
+  if not membership.may_accept_claims(state.now):
     return claims.ClaimReply(claims.Verdict.NOT_READY)
   trusted = membership.trusts(claim.key)
   held = state.claims.by_others(claim.key, claim.owner)
@@ -69,7 +69,7 @@
   membership = state.membership
   view = membership.view
   renewal_due = (
-      membership.lease_until - OVERDUE_SHARE * state.limits.lease_ttl_s
+      membership.lease_until - RENEWAL_OVERDUE_SHARE * state.limits.lease_ttl_s
   )
   agrees = (
       view is not None
@@ -209,11 +209,11 @@
 def start_probe(state: state_lib.EntryState) -> list:
   """With the lease lapsed, asks every other member for its promise."""
   membership = state.membership
-  if not (membership.is_member and membership.lapsed(state.now)):
+  if not (membership.is_member and membership.lease_expired(state.now)):
     return []
   if state.now < membership.next_probe:
     return []
-  membership.next_probe = state.now + views.PROBE_EVERY_S
+  membership.next_probe = state.now + views.PROBE_INTERVAL_S
   others = membership.others()
   membership.probe = views.ProbeRound(
       membership.view.digest, state.now, {m.name for m in others}
--- a/fescueturn/peer.capnp
+++ b/fescueturn/peer.capnp
@@ -18,7 +18,7 @@
   tasks @5 :List(Task);
 }
 
-# A job passed to the entry host that coordinates its key already.
+# A job forwarded to the entry host that already coordinates its key.
 struct ForwardJob {
   job @0 :Job;
   hops @1 :UInt16;
@@ -44,7 +44,7 @@
   tasks @4 :List(TaskAnswer);
 }
 
-# One process of an entry host.
+# One process of an entry host; boot differs at every start.
 struct Token {
   name @0 :Text;
   boot @1 :Text;
@@ -82,7 +82,7 @@
   asker @1 :Token;
 }
 
-# What one entry host sends another. A requestId of 0 asks for no reply.
+# A request from one entry host to another. A requestId of 0 makes it one-way.
 struct Request {
   requestId @0 :UInt64;
   union {
@@ -113,7 +113,8 @@
   claims @1 :List(Claim);
 }
 
-# The reply to the Request with the same requestId, and the process it is from.
+# The reply to the Request with the same requestId; boot identifies the process
+# that sent it.
 struct Reply {
   requestId @0 :UInt64;
   boot @1 :Text;
--- a/fescueturn/peer.py
+++ b/fescueturn/peer.py
@@ -1,9 +1,8 @@
-"""Entry host to entry host: requests and replies over pycapnp and TCP.
+"""Requests and replies between entry hosts, in Cap'n Proto over TCP.
 
-One TCP connection per peer carries many requests at once; each reply names
-its request's id. Messages use Cap'n Proto's standard stream framing (a
-segment table, then segments), so a reader learns each message's length from
-its first words. The messages themselves are in `fescueturn.peercodec`.
+One TCP connection per peer carries concurrent requests; each reply has its
+request's id. `fescueturn.framing` delimits the messages and
+`fescueturn.peercodec` encodes them.
 """
 
 from collections.abc import Awaitable
@@ -27,19 +26,19 @@
 
 
 class PeerLostError(errors.FescueError):
-  """No reply came; the peer may or may not have acted on the request."""
+  """No reply was received; the peer may have acted on the request."""
 
   code = codes.Code.NO_OWNER
 
 
 class PeerRefusedError(errors.FescueError):
-  """The peer's port refuses connections: no process runs there."""
+  """The peer's port refuses connections, so no process listens there."""
 
   code = codes.Code.NO_OWNER
 
 
 class PeerServer:
-  """Takes other entry hosts' requests; `start` listens, `close` stops."""
+  """Serves requests of other entry hosts, several per connection at once."""
 
   def __init__(self, address: settings.Address, boot: str, handler: Handler):
     self._boot = boot
@@ -49,11 +48,11 @@
 
   @property
   def bytes_in_out(self) -> tuple[int, int]:
-    """Bytes of requests read and of replies sent so far."""
+    """Total bytes of requests received and of replies sent."""
     return self._bytes[0], self._bytes[1]
 
   async def start(self):
-    """Listens for peers."""
+    """Starts accepting connections from peers."""
     await self._listener.start()
 
   async def _serve(self, client):
@@ -85,7 +84,7 @@
         logger.warning("event=peer_reply_lost error={!r}", exc)
 
   async def close(self):
-    """Stops taking new peer connections."""
+    """Stops accepting connections from peers."""
     await self._listener.close()
 
 
@@ -95,8 +94,8 @@
   def __init__(self, address: settings.Address):
     self._address = address
     self._sock = None
-    self._reader = None
-    self._waiting: dict[int, curio.Queue] = {}
+    self._read_task = None
+    self._pending: dict[int, curio.Queue] = {}
     self._next_id = peercodec.NO_REPLY + 1
     self._lock = curio.Lock()
 
@@ -106,35 +105,37 @@
     """Sends a request and waits up to `timeout_s` seconds for its reply.
 
     Returns:
-      The replying process (`claims.Token.boot`) and its reply.
+      The id of the process that replied (`claims.Token.boot`), and its reply.
 
     Raises:
       PeerRefusedError: no process listens at the peer's address.
-      PeerLostError: no reply came, for any other reason.
+      PeerLostError: no reply was received, for any other reason.
     """
     request_id = self._next_id
     self._next_id += 1
-    box = curio.Queue()
-    self._waiting[request_id] = box
+    reply_queue = curio.Queue()
+    self._pending[request_id] = reply_queue
     try:
       reply = await curio.timeout_after(
-          timeout_s, self._exchange, request_id, request, box
+          timeout_s, self._exchange, request_id, request, reply_queue
       )
     except curio.TaskTimeout as exc:
-      raise PeerLostError(f"peer {self._address}: no reply") from exc
+      raise PeerLostError(
+          f"peer {self._address}: no reply within {timeout_s} s"
+      ) from exc
     finally:
-      self._waiting.pop(request_id, None)
+      self._pending.pop(request_id, None)
     if reply is None:
       await self._check_listening()
       raise PeerLostError(f"peer {self._address}: connection lost")
     return reply
 
-  async def _exchange(self, request_id: int, request, box: curio.Queue):
+  async def _exchange(self, request_id: int, request, reply_queue: curio.Queue):
     await self._send(peercodec.encode_request(request_id, request))
-    return await box.get()
+    return await reply_queue.get()
 
   async def send_notice(self, request: claims.Request):
-    """Sends a one-way request; a peer that cannot be reached misses it."""
+    """Sends a one-way request, which is lost if the peer is unreachable."""
     data = peercodec.encode_request(peercodec.NO_REPLY, request)
     try:
       await curio.timeout_after(CONNECT_TIMEOUT_S, self._send, data)
@@ -150,14 +151,16 @@
           self._address.port,
       )
     except ConnectionRefusedError as exc:
-      raise PeerRefusedError(f"peer {self._address}: refused") from exc
+      raise PeerRefusedError(
+          f"peer {self._address}: connection refused"
+      ) from exc
     except (OSError, curio.TaskTimeout) as exc:
       raise PeerLostError(f"peer {self._address}: {exc!r}") from exc
     listener.no_delay(sock)
     return sock
 
   async def _check_listening(self):
-    """Raises `PeerRefusedError` if nothing listens at the address any more."""
+    """Raises `PeerRefusedError` if no process listens at the address."""
     sock = await self._connect()
     await sock.close()
 
@@ -166,7 +169,7 @@
       if self._sock is None:
         sock = await self._connect()
         self._sock = sock
-        self._reader = await curio.spawn(self._read_loop, sock, daemon=True)
+        self._read_task = await curio.spawn(self._read_loop, sock, daemon=True)
       try:
         await self._sock.sendall(data)
       except OSError as exc:
@@ -179,20 +182,20 @@
       while True:
         data = await framing.read_message(stream)
         request_id, boot, reply = peercodec.decode_reply(data)
-        box = self._waiting.get(request_id)
-        if box is not None:
-          await box.put((boot, reply))
+        reply_queue = self._pending.get(request_id)
+        if reply_queue is not None:
+          await reply_queue.put((boot, reply))
     except (ConnectionError, OSError, capnp.KjException):
       if self._sock is sock:
         self._sock = None
       await sock.close()
-      for box in list(self._waiting.values()):
-        await box.put(None)
+      for reply_queue in list(self._pending.values()):
+        await reply_queue.put(None)
 
   async def close(self):
     """Closes the connection."""
-    if self._reader is not None:
-      await self._reader.cancel()
+    if self._read_task is not None:
+      await self._read_task.cancel()
     if self._sock is not None:
       await self._sock.close()
       self._sock = None
--- a/fescueturn/peercodec.py
+++ b/fescueturn/peercodec.py
@@ -1,8 +1,8 @@
-"""Cap'n Proto form of the messages between entry hosts (peer.capnp).
+"""Codec of the messages between entry hosts (schema: peer.capnp).
 
-`encode_request` and `encode_reply` turn the dataclasses of
-`fescueturn.claims` into framed messages (Cap'n Proto's standard stream
-framing); `decode_request` and `decode_reply` turn them back.
+`encode_request` and `encode_reply` convert the dataclasses of
+`fescueturn.claims` to Cap'n Proto messages with standard stream framing;
+`decode_request` and `decode_reply` convert them back.
 """
 
 import os
@@ -16,8 +16,9 @@
 
 schema = capnp.load(os.path.join(os.path.dirname(__file__), "peer.capnp"))
 
+# The request id of a one-way request.
 NO_REPLY = 0
-_MS = 1000
+_MS_PER_S = 1000
 
 
 def _put_job(slot, job: messages.Job):
@@ -88,7 +89,7 @@
   slot.fingerprint = claim.fingerprint
   _put_token(slot.owner, claim.owner)
   slot.number = claim.number
-  slot.keepMs = int(claim.keep_s * _MS)
+  slot.keepMs = int(claim.keep_s * _MS_PER_S)
   if claim.answer is not None:
     _put_answer(slot.init("answer"), claim.answer)
 
@@ -100,7 +101,7 @@
       fingerprint=slot.fingerprint,
       owner=_get_token(slot.owner),
       number=slot.number,
-      keep_s=slot.keepMs / _MS,
+      keep_s=slot.keepMs / _MS_PER_S,
       answer=answer,
   )
 
@@ -166,7 +167,7 @@
 
 
 def encode_request(request_id: int, request: claims.Request) -> bytes:
-  """Returns the framed request; id `NO_REPLY` asks for no reply."""
+  """Returns the framed request; the id `NO_REPLY` makes it one-way."""
   msg = schema.Request.new_message(requestId=request_id)
   _PUT_REQUEST[type(request)](msg, request)
   return msg.to_bytes()
@@ -190,10 +191,10 @@
 
 
 def decode_request(data: bytes) -> tuple[int, claims.Request]:
-  """Reads a framed request; returns its id and the request.
+  """Decodes a framed request; returns its id and the request.
 
   Raises:
-    capnp.KjException: the bytes are not a request.
+    capnp.KjException: the data is not a valid request.
   """
   with schema.Request.from_bytes(data) as msg:
     kind = msg.which()
@@ -236,7 +237,7 @@
 
 
 def encode_reply(request_id: int, boot: str, reply: claims.Reply) -> bytes:
-  """Returns the framed reply of the process `boot`."""
+  """Returns the framed reply; `boot` identifies the replying process."""
   msg = schema.Reply.new_message(requestId=request_id, boot=boot)
   _PUT_REPLY[type(reply)](msg, reply)
   return msg.to_bytes()
@@ -264,10 +265,13 @@
 
 
 def decode_reply(data: bytes) -> tuple[int, str, claims.Reply]:
-  """Reads a framed reply; returns its id, the process, and the reply.
+  """Decodes a framed reply.
+
+  Returns:
+    The request's id, the replying process's `boot` and the reply.
 
   Raises:
-    capnp.KjException: the bytes are not a reply.
+    capnp.KjException: the data is not a valid reply.
   """
   with schema.Reply.from_bytes(data) as msg:
     kind = str(msg.which())
--- a/fescueturn/placement.py
+++ b/fescueturn/placement.py
@@ -16,13 +16,13 @@
 from fescueturn import events
 from fescueturn import routing
 
-SUSPECT_S = 2.0
+UNREACHABLE_PAUSE_S = 2.0
 # Failures in a row, each in another job, after which an endpoint is left out.
 FAILURES_TO_EJECT = 2
 EJECT_MIN_S = 2.0
 EJECT_MAX_S = 60.0
 # Weight of the newest task in an endpoint's slowness average.
-SLOWNESS_GAIN = 0.2
+SLOWNESS_WEIGHT = 0.2
 SLOWNESS_FLOOR = 1.0
 # Shorter declared run times say nothing about an endpoint's speed.
 SLOWNESS_MIN_MS = 50.0
@@ -95,7 +95,7 @@
     """Returns every endpoint of the host list's present view."""
     return list(self._endpoints.values())
 
-  def has(self, service: str) -> bool:
+  def has_service(self, service: str) -> bool:
     """True when some endpoint of `service` is listed and not leaving."""
     return service in self._services
 
@@ -116,21 +116,21 @@
         return self._endpoints[name]
     return None
 
-  def started(self, name: str):
+  def record_start(self, name: str):
     """Notes a task sent to an endpoint."""
     self._health[name].busy += 1
     self._push(name)
 
-  def finished(self, name: str):
+  def record_finish(self, name: str):
     """Notes that a task sent to an endpoint no longer fills a slot."""
     self._health[name].busy -= 1
     self._push(name)
 
-  def unreachable(self, name: str, now: float):
+  def mark_unreachable(self, name: str, now: float):
     """Leaves out an endpoint that could not be connected to."""
-    self._health[name].out_until = now + SUSPECT_S
+    self._health[name].out_until = now + UNREACHABLE_PAUSE_S
 
-  def failed(self, name: str, key: str, now: float):
+  def record_failure(self, name: str, key: str, now: float):
     """Notes a task of the job `key` that the endpoint started and failed."""
     health = self._health[name]
     health.failed_jobs.add(key)
@@ -140,13 +140,13 @@
       health.ejections += 1
       health.failed_jobs.clear()
 
-  def succeeded(self, name: str, elapsed_ms: float, declared_ms: float):
+  def record_success(self, name: str, elapsed_ms: float, declared_ms: float):
     """Notes a task done, and how its time compares with the one declared."""
     health = self._health[name]
     health.failed_jobs.clear()
     health.ejections = 0
     ratio = max(SLOWNESS_FLOOR, elapsed_ms / max(SLOWNESS_MIN_MS, declared_ms))
-    health.slowness += SLOWNESS_GAIN * (ratio - health.slowness)
+    health.slowness += SLOWNESS_WEIGHT * (ratio - health.slowness)
 
   def snapshot(self, now: float) -> dict:
     """Returns a JSON-ready dump."""
@@ -186,7 +186,7 @@
     queue = self._teams.setdefault(team, collections.deque())
     queue.extend((key, task_id) for task_id in task_ids)
 
-  def add_first(self, team: str, key: str, task_id: str):
+  def requeue(self, team: str, key: str, task_id: str):
     """Puts a task back in front of the team's others."""
     self._teams.setdefault(team, collections.deque()).appendleft((key, task_id))
 
--- a/fescueturn/reducer.py
+++ b/fescueturn/reducer.py
@@ -83,11 +83,11 @@
   if isinstance(message, claims.AnswerCopy):
     state.claims.merge(message.claim, state.now)
     return []
-  reply = _ANSWERS[type(message)](state, message)
+  reply = _REQUEST_HANDLERS[type(message)](state, message)
   return [events.SendPeerReply(event.request_id, reply)]
 
 
-_ANSWERS = {
+_REQUEST_HANDLERS = {
     claims.ClaimRequest: ownership.answer_claim,
     claims.SyncRequest: ownership.answer_sync,
     claims.ProbeRequest: ownership.answer_probe,
@@ -95,10 +95,10 @@
 
 
 def _on_peer_reply(state, event: events.PeerReplyReceived) -> list:
-  return _REPLIES[type(event.request.message)](state, event)
+  return _REPLY_HANDLERS[type(event.request.message)](state, event)
 
 
-_REPLIES = {
+_REPLY_HANDLERS = {
     claims.ClaimRequest: claiming.handle_claim_reply,
     claims.SyncRequest: ownership.handle_sync_reply,
     claims.ProbeRequest: ownership.handle_probe_reply,
@@ -110,7 +110,7 @@
 def _on_tick(state, event: events.Tick) -> list:
   state.now = event.now
   effects = []
-  while (callback := state.due()) is not None:
+  while (callback := state.pop_due_timer()) is not None:
     effects += callback(state)
   ownership.remove_expired(state)
   return effects + ownership.start_probe(state) + dispatch.dispatch(state)
--- a/fescueturn/settings.py
+++ b/fescueturn/settings.py
@@ -1,9 +1,9 @@
-"""Settings: every key, its default and its check, in one place.
+"""Settings of daemons and teams: all keys, their defaults and validation.
 
-A daemon reads one INI file; a team's configuration is INI text kept in the
-platform's key-value service under ``/teams/<team>/settings``. Both are
-checked at load into frozen dataclasses, and a bad field gives one
-`errors.SettingsError` naming the section, key and numbered code.
+A daemon reads one INI file; a team's settings are INI text in the platform's
+key-value service at ``/teams/<team>/settings``. Loading validates them into
+frozen dataclasses; an invalid field raises an `errors.SettingsError` that names
+the section and key and has a numbered code.
 """
 
 import configparser
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Address:
-  """A host and TCP (or UDP) port, written ``host:port`` in settings."""
+  """A host and a TCP or UDP port, written ``host:port`` in settings."""
 
   host: str
   port: int
@@ -29,7 +29,7 @@
 
 
 def parse_address(text: str) -> Address:
-  """Parses ``host:port``; raises ValueError when it is not one."""
+  """Parses ``host:port``; raises ValueError if the text is invalid."""
   host, sep, port = text.strip().rpartition(":")
   if not sep or not host:
     raise ValueError(f"expected host:port, got {text!r}")
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProcessSettings:
-  """What every daemon needs: its name, place, metrics and logs."""
+  """Settings of every daemon: its name, location, metrics and logs."""
 
   name: str
   data_centre: str
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntrySettings:
-  """An entry host: where callers, peers and the platform are."""
+  """Settings of an entry host."""
 
   listen: Address
   peer_listen: Address
@@ -111,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndpointSettings:
-  """An endpoint stand-in: its services, slots and connection limit."""
+  """Settings of an endpoint stand-in."""
 
   listen: Address
   platform: Address
@@ -124,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlatformSettings:
-  """The platform stand-in: its address and how far its host list lags."""
+  """Settings of the platform stand-in; its host list lags by a set time."""
 
   listen: Address
   host_list_lag_s: float = 1.0
@@ -132,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TeamSettings:
-  """One team's configuration, kept at ``/teams/<team>/settings``."""
+  """One team's settings, stored at ``/teams/<team>/settings``."""
 
   service: str
   max_tasks_per_job: int = 190
@@ -142,7 +142,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settings:
-  """A daemon's whole settings file; role sections it lacks are None."""
+  """A daemon's settings file; absent role sections are None."""
 
   process: ProcessSettings
   entry: EntrySettings | None = None
@@ -188,7 +188,7 @@
 
 
 def _build(section: str, cls: type, items: dict[str, str]) -> Any:
-  """Checks one INI section into `cls`, raising one error per bad field."""
+  """Validates an INI section into `cls`; raises at the first invalid field."""
   fields = {f.name: f for f in dataclasses.fields(cls)}
   values = {}
   for key, text in items.items():
@@ -219,45 +219,47 @@
 
 
 def loads(text: str, source: str = "<settings>") -> Settings:
-  """Checks a daemon's INI settings text.
+  """Parses and validates a daemon's INI settings text.
 
   Args:
     text: INI text with a ``[process]`` section and any role sections.
     source: a name for the text, used in error messages.
 
   Returns:
-    The checked `Settings`.
+    The validated `Settings`.
 
   Raises:
-    errors.SettingsError: with code 400 (missing), 401 (bad value) or 402
+    errors.SettingsError: with code 400 (missing), 401 (invalid value) or 402
       (unknown key or section).
   """
   parser = _read(text, source)
-  built = {}
+  sections = {}
   for section in parser.sections():
     if section not in _SECTIONS:
       raise errors.SettingsError(
           f"[{section}]: unknown section", codes.Code.SETTINGS_UNKNOWN_KEY
       )
-    built[section] = _build(section, _SECTIONS[section], dict(parser[section]))
-  if "process" not in built:
+    sections[section] = _build(
+        section, _SECTIONS[section], dict(parser[section])
+    )
+  if "process" not in sections:
     raise errors.SettingsError(
         "[process]: required", codes.Code.SETTINGS_MISSING
     )
-  return Settings(**built)
+  return Settings(**sections)
 
 
 def load(path: str) -> Settings:
-  """Reads and checks a daemon's settings file; see `loads`."""
+  """Loads and validates a daemon's settings file; see `loads`."""
   with open(path, encoding="utf-8") as file:
     return loads(file.read(), source=path)
 
 
 def loads_team(text: str, source: str = "<team>") -> TeamSettings:
-  """Checks a team's INI configuration: one ``[team]`` section.
+  """Parses and validates a team's INI settings: one ``[team]`` section.
 
   Raises:
-    errors.SettingsError: as `loads` does.
+    errors.SettingsError: with the codes of `loads`.
   """
   parser = _read(text, source)
   extra = [s for s in parser.sections() if s != "team"]
--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -92,7 +92,7 @@
     self.phase = Phase.CLAIMING
     self.cancelled = False
     self.waiters: list[Waiter] = []
-    self.claim_until = 0.0
+    self.claim_deadline = 0.0
     self.round: ClaimRound | None = None
     self.retry_pending = False
     self.conflicts = 0
@@ -100,7 +100,7 @@
     self.answers: dict[str, messages.TaskAnswer] = {}
     self.in_flight: dict[str, InFlightTask] = {}
     self.retries = 0
-    self.final: messages.JobAnswer | None = None
+    self.final_answer: messages.JobAnswer | None = None
 
   @property
   def done(self) -> bool:
@@ -161,7 +161,7 @@
     """Has `callback` called by the first tick at or after `when`."""
     heapq.heappush(self._timers, (when, self.next_number(), callback))
 
-  def due(self) -> TimerCallback | None:
+  def pop_due_timer(self) -> TimerCallback | None:
     """Takes and returns one callback whose time has come, or None."""
     if self._timers and self._timers[0][0] <= self.now:
       return heapq.heappop(self._timers)[2]
--- a/fescueturn/teamconfig.py
+++ b/fescueturn/teamconfig.py
@@ -1,9 +1,10 @@
-"""Operators' team settings in the platform: check, get and put with CAS.
+"""Operators' access to the team settings stored in the platform.
 
-A team's settings are INI text at ``/teams/<team>/settings``. A put names the
-revision it replaces (0 for a new team), so two operators racing cannot
-silently overwrite each other: the second gets a conflict. A reply lost after
-the write took effect is resolved by reading the key back.
+A team's settings are INI text at ``/teams/<team>/settings``. `put` is a
+compare-and-swap on the revision that it replaces (0 for a new team), so
+concurrent writes by two operators cannot overwrite each other: the second one
+gets a conflict. If a reply is lost, `put` retries; a conflict with its own text
+as the stored value then means that the first attempt took effect.
 """
 
 import dataclasses
@@ -14,12 +15,12 @@
 from fescueturn import membership
 from fescueturn import settings
 
-PUT_TRIES = 5
+MAX_PUT_ATTEMPTS = 5
 
 
 @dataclasses.dataclass(frozen=True)
 class TeamConfig:
-  """A team's settings text as stored, with the revision that wrote it."""
+  """A team's stored settings text and the revision that wrote it."""
 
   team: str
   text: str
@@ -27,7 +28,7 @@
 
 
 def check(text: str, team: str = "<team>") -> settings.TeamSettings:
-  """Checks team settings text; raises `errors.SettingsError` if bad."""
+  """Validates settings text; raises `errors.SettingsError` if it is invalid."""
   return settings.loads_team(text, source=membership.team_key(team))
 
 
@@ -45,33 +46,33 @@
 
 
 async def put(kv: kvtypes.Store, team: str, text: str, expect: int) -> int:
-  """Checks, then writes a team's settings if its revision is `expect`.
+  """Validates a team's settings and writes them if at revision `expect`.
 
   Args:
     kv: the platform client.
     team: the team's name.
-    text: the INI text; checked before anything is written.
+    text: the INI text; validated before it is written.
     expect: the revision being replaced, 0 for a new team.
 
   Returns:
     The revision of the write.
 
   Raises:
-    errors.SettingsError: the text fails its checks; nothing is written.
-    errors.KvConflictError: another write came first (code 300).
-    errors.KvError: the platform stayed unavailable.
+    errors.SettingsError: the text is invalid; nothing is written.
+    errors.KvConflictError: the key is at another revision (code 300).
+    errors.KvError: all attempts failed; the write may have taken effect.
   """
   check(text, team)
   key = membership.team_key(team)
   wanted = kvtypes.Transaction({key: expect}, {key: text.encode()})
   last_error = None
-  for _ in range(PUT_TRIES):
+  for _ in range(MAX_PUT_ATTEMPTS):
     try:
       return await kv.transact(wanted)
     except kvtypes.ConflictError as exc:
       applied = exc.items.get(key)
       if last_error and applied and applied.value == text.encode():
-        # Our own write took effect, and its reply was lost.
+        # An earlier attempt took effect, but its reply was lost.
         return applied.revision
       raise
     except errors.KvError as exc:
--- a/fescueturn/timer.py
+++ b/fescueturn/timer.py
@@ -1,8 +1,9 @@
-"""The timer service: a process's one source of time.
+"""The timer service: the only source of time in a process.
 
-Parts subscribe a callback; the service calls each with the monotonic time
-in seconds every period, which may be made longer while nothing is due. Parts never read the clock themselves, so a test can
-drive them with `fire` and a made-up time.
+Components subscribe callbacks, which the service calls once per period with the
+monotonic time in seconds; the period may be extended while nothing is due.
+Components never read the clock themselves, so that tests can drive them with
+`fire` and a simulated time.
 """
 
 import inspect
@@ -15,7 +16,7 @@
 
 
 class TimerService:
-  """Calls every subscriber with the time, every `period_s` seconds."""
+  """Calls all subscribers with the current time every `period_s` seconds."""
 
   def __init__(
       self, period_s: float, clock: Callable[[], float] = time.monotonic
@@ -24,7 +25,7 @@
     self._clock = clock
     self._subscribers: list[Subscriber] = []
     self._task = None
-    self._hurried = curio.Event()
+    self._shortened = curio.Event()
 
   @property
   def period_s(self) -> float:
@@ -32,22 +33,22 @@
     return self._period_s
 
   async def set_period(self, period_s: float):
-    """Has ticks come every `period_s` seconds; a shorter period begins now."""
+    """Sets the period; a shorter one ends the current wait immediately."""
     shorter = period_s < self._period_s
     self._period_s = period_s
     if shorter:
-      await self._hurried.set()
+      await self._shortened.set()
 
   def now(self) -> float:
     """Returns the service's current time in seconds (monotonic)."""
     return self._clock()
 
   def subscribe(self, callback: Subscriber):
-    """Adds a callback (plain or async) to be called with the time."""
+    """Adds a synchronous or async callback that is called with the time."""
     self._subscribers.append(callback)
 
   async def fire(self, now: float | None = None):
-    """Calls every subscriber once, with `now` or the clock's time."""
+    """Calls all subscribers once with `now`, by default the clock's time."""
     when = self._clock() if now is None else now
     for callback in list(self._subscribers):
       result = callback(when)
@@ -55,17 +56,17 @@
         await result
 
   async def start(self):
-    """Starts ticking in a background task."""
+    """Starts calling subscribers from a background task."""
     self._task = await curio.spawn(self._run, daemon=True)
 
   async def _run(self):
     while True:
-      await curio.ignore_after(self._period_s, self._hurried.wait)
-      self._hurried.clear()
+      await curio.ignore_after(self._period_s, self._shortened.wait)
+      self._shortened.clear()
       await self.fire()
 
   async def close(self):
-    """Stops ticking."""
+    """Stops the background task."""
     if self._task is not None:
       await self._task.cancel()
       self._task = None
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -15,7 +15,7 @@
 
 # How long a peer's promise lasts, and how often a lapsed host asks for one.
 PROMISE_S = 5.0
-PROBE_EVERY_S = 2.0
+PROBE_INTERVAL_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -117,11 +117,11 @@
     """Returns the other members of the present view."""
     return [m for m in self.members if m.name != self.me.name]
 
-  def lapsed(self, now: float) -> bool:
+  def lease_expired(self, now: float) -> bool:
     """True when the lease is over by this host's own clock."""
     return now >= self.lease_until
 
-  def may_hold(self, now: float) -> bool:
+  def may_accept_claims(self, now: float) -> bool:
     """Tells whether this host may accept claims at `now`.
 
     It must be a member, with a lease or every peer's promise in force; and
@@ -129,7 +129,7 @@
     """
     if not self.is_member or self.view.digest == self.fenced_view:
       return False
-    if self.lapsed(now) and now >= self.promised_until:
+    if self.lease_expired(now) and now >= self.promised_until:
       return False
     return all(
         until <= now or self.view.runs(token)
@@ -145,7 +145,7 @@
     return {
         "view": f"{self.view.digest:016x}" if self.view else None,
         "is_member": self.is_member,
-        "may_hold": self.may_hold(now),
+        "may_hold": self.may_accept_claims(now),
         "lease": self.lease,
         "lease_left_s": round(self.lease_until - now, 3),
         "promise_left_s": round(max(0.0, self.promised_until - now), 3),
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Letter:
+class Envelope:
   """A message on its way; `reply` is set on the way back."""
 
   source: str
@@ -35,11 +35,11 @@
     self.hosts = {}
     self.store = {}
     self.views = collections.defaultdict(list)
-    self.letters = []
-    self.asked = {}
+    self.in_transit = []
+    self.senders = {}
     self.starts = collections.Counter()
     self.outcomes = {}
-    self.cut = set()
+    self.broken_links = set()
     self.racks = {}
     self._ids = iter(range(1, 10**6))
     self._finish = finish_tasks
@@ -49,7 +49,7 @@
     )
     for name in names:
       self.join(name)
-    self.settle()
+    self.run_until_idle()
 
   def join(self, name, lease_s=FOREVER_S, rack=""):
     """Starts a new process of `name`; the store lists it at once."""
@@ -79,7 +79,7 @@
     )
     self._announce()
 
-  def lapse(self, name):
+  def expire_member(self, name):
     """The store drops a member."""
     if self.store.pop(name, None) is not None:
       self._announce()
@@ -95,7 +95,7 @@
     del self.hosts[name]
     self.views.pop(name, None)
 
-  def see_view(self, name):
+  def deliver_view(self, name):
     """Delivers the next view to one host."""
     if name in self.hosts and self.views[name]:
       self._apply(name, self.views[name].pop(0))
@@ -124,21 +124,21 @@
       if name in self.hosts:
         self._apply(name, events.Tick(self.now))
 
-  def settle(self, rounds=60):
+  def run_until_idle(self, rounds=60):
     """Delivers every view and letter, and ticks, until nothing moves."""
     for _ in range(rounds):
       for name in list(self.hosts):
         while self.views[name]:
-          self.see_view(name)
-      while self.letters:
+          self.deliver_view(name)
+      while self.in_transit:
         self.deliver(0)
       self.tick()
 
   def deliver(self, index):
     """Delivers one letter, or its reply, or news that its host is dead."""
-    letter = self.letters.pop(index)
+    letter = self.in_transit.pop(index)
     target = letter.effect.member.name
-    if frozenset((letter.source, target)) in self.cut:
+    if frozenset((letter.source, target)) in self.broken_links:
       self._lost(letter)
     elif letter.reply is not None:
       self._back(
@@ -159,9 +159,9 @@
       )
       self._apply(state.name, event)
 
-  def lose(self, index):
+  def drop(self, index):
     """Loses one letter, or its reply, without a trace."""
-    self._lost(self.letters.pop(index))
+    self._lost(self.in_transit.pop(index))
 
   def _runs(self, member):
     state = self.hosts.get(member.name)
@@ -171,7 +171,7 @@
     number = next(self._ids)
     name = letter.effect.member.name
     if isinstance(letter.effect, events.SendPeerRequest):
-      self.asked[number] = letter
+      self.senders[number] = letter
     self._apply(name, events.PeerRequestReceived(number, letter.effect.message))
 
   def _lost(self, letter):
@@ -186,7 +186,7 @@
     state = self.hosts[name]
     for effect in reducer.reduce(state, event, self.now):
       if isinstance(effect, (events.SendPeerRequest, events.SendPeerNotice)):
-        self.letters.append(Letter(name, effect))
+        self.in_transit.append(Envelope(name, effect))
       elif isinstance(effect, (events.SendPeerReply, events.SendOutcome)):
         self._answered(effect)
       elif isinstance(effect, events.SendTask):
@@ -197,9 +197,9 @@
 
   def _answered(self, effect):
     reply = effect.reply if hasattr(effect, "reply") else effect.outcome
-    letter = self.asked.pop(effect.request_id, None)
+    letter = self.senders.pop(effect.request_id, None)
     if letter is not None:
-      self.letters.append(dataclasses.replace(letter, reply=reply))
+      self.in_transit.append(dataclasses.replace(letter, reply=reply))
     else:
       self.outcomes[effect.request_id] = reply
       self._check_not_run(reply)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,14 +22,14 @@
   assert "E401" in bad.output and "service" in bad.output
 
 
-def test_unreachable_daemon_and_bad_input_are_refused():
-  nobody = str(ports.free_address())
+def test_unreachable_daemon_and_bad_input_exit_with_an_error():
+  unused = str(ports.free_address())
   for args in (
-      ("dump", nobody),
-      ("cancel", "--entry", nobody, "--team", "t", "k"),
+      ("dump", unused),
+      ("cancel", "--entry", unused, "--team", "t", "k"),
   ):
     result = invoke(*args)
     assert result.exit_code == cli.EXIT_REFUSED and "E500" in result.output
   assert "host:port" in invoke("dump", "nowhere").output
-  result = invoke("submit", "--entry", nobody, "-", stdin="{not json")
+  result = invoke("submit", "--entry", unused, "-", stdin="{not json")
   assert result.exit_code == 1 and "job_id" in result.output
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -11,7 +11,7 @@
     assert f"| {int(code)} | {code.name} |" in table
 
 
-def test_every_task_code_says_whether_it_ran():
+def test_every_task_code_states_whether_the_task_ran():
   for code in codes.Code:
     if 1 <= code < 100:
       ran = codes.task_ran(code)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -13,7 +13,7 @@
 """
 
 
-def test_story_is_found_by_request_and_by_job_in_order_of_time():
+def test_timeline_is_found_by_request_and_by_job_in_order_of_time():
   lines = LOG.splitlines()
   by_request = explain.request_timeline(reversed(lines), "q7")
   assert [line.event for line in by_request] == [
@@ -25,18 +25,18 @@
   assert explain.request_timeline(lines, "b3") == by_request
 
 
-def test_command_tells_it_in_words(tmp_path):
+def test_command_prints_descriptions_of_events(tmp_path):
   log = tmp_path / "log"
   log.write_text(LOG)
   run = click.testing.CliRunner().invoke
   result = run(cli.main, ["explain", "q7", str(log)])
   assert result.exit_code == 0
-  assert "declined: no room expected in time (short by 95 ms" in result.output
+  assert "declined: no room expected in time (95 ms too late" in result.output
   result = run(cli.main, ["explain", "q8", str(log)])
   assert result.exit_code == 2
   assert "E502 NOT_LOGGED" in result.output
 
 
-def test_field_that_is_missing_does_not_hide_the_line():
+def test_missing_field_does_not_hide_the_line():
   line = explain.parse("ts=1 proc=x event=job_declined job=b3")
   assert line.describe().startswith("declined: no room")
--- a/tests/test_httpio.py
+++ b/tests/test_httpio.py
@@ -15,21 +15,21 @@
   return httpio.json_response(200, {"hello": 1})
 
 
-def test_idle_connection_that_the_server_closed_is_not_used_again():
+def test_idle_connection_that_the_server_closed_is_not_reused():
   address = ports.free_address()
 
   async def closing(request):
     return httpio.with_connection_close(await hello(request))
 
-  async def go():
+  async def run():
     server = httpio.Server(address, closing)
     await server.start()
     pool = httpio.Pool(address)
     statuses = [
         (await pool.request("GET", "/", timeout_s=5)).status for _ in range(3)
     ]
-    # A server that goes away closes what is idle; the next request must not
-    # be sent into the closed connection, where its fate would be unknown.
+    # A server that stops closes its idle connections. A request sent on one of
+    # these would have an unknown outcome, so the pool must not reuse it.
     client = httpio._ClientConnection(
         await curio.open_connection(address.host, address.port), "x"
     )
@@ -40,13 +40,13 @@
       await pool.request("GET", "/", timeout_s=5)
     return statuses
 
-  assert curio.run(go) == [200, 200, 200]
+  assert curio.run(run) == [200, 200, 200]
 
 
 def test_body_over_the_limit_is_refused():
   address = ports.free_address()
 
-  async def go():
+  async def run():
     server = httpio.Server(address, hello, max_body=10)
     await server.start()
     pool = httpio.Pool(address)
@@ -54,11 +54,15 @@
     await server.close()
     return response.status
 
-  assert curio.run(go) == 413
+  assert curio.run(run) == 413
 
 
-def test_response_that_came_in_time_counts_though_it_was_read_late():
-  """A host that is busy must not take its own lateness for a lost answer."""
+def test_response_that_arrived_in_time_counts_even_if_read_late():
+  """Guards against counting a response as lost because this host was busy.
+
+  The event loop is blocked past the timeout while the response is in the
+  socket's buffer.
+  """
   listening = socket.create_server(("127.0.0.1", 0))
   port = listening.getsockname()[1]
 
@@ -71,26 +75,26 @@
 
   threading.Thread(target=answer_once, daemon=True).start()
 
-  async def busy():
+  async def block_event_loop():
     time.sleep(0.2)
 
-  async def go():
+  async def run():
     pool = httpio.Pool(settings.Address("127.0.0.1", port))
-    asking = await curio.spawn(pool.request, "GET", "/", b"", (), 0.1)
+    pending = await curio.spawn(pool.request, "GET", "/", b"", (), 0.1)
     await curio.sleep(0)
-    await curio.spawn(busy)
-    return (await asking.join()).status
+    await curio.spawn(block_event_loop)
+    return (await pending.join()).status
 
-  assert curio.run(go) == 200
+  assert curio.run(run) == 200
 
 
-def test_response_that_does_not_come_in_time_is_lost():
+def test_missing_response_counts_as_lost_after_the_timeout():
   listening = socket.create_server(("127.0.0.1", 0))
   port = listening.getsockname()[1]
 
-  async def go():
+  async def run():
     pool = httpio.Pool(settings.Address("127.0.0.1", port))
     with pytest.raises(httpio.LostReplyError):
       await pool.request("GET", "/", timeout_s=0.05)
 
-  curio.run(go)
+  curio.run(run)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -54,7 +54,7 @@
     ]
 
   def deliver(self):
-    letters = self.peers.letters
+    letters = self.peers.in_transit
     ready = [
         i
         for i, letter in enumerate(letters)
@@ -63,9 +63,9 @@
     if ready:
       self.peers.deliver(self.rng.choice(ready))
 
-  def lose(self):
-    if self.peers.letters:
-      self.peers.lose(self.rng.randrange(len(self.peers.letters)))
+  def drop(self):
+    if self.peers.in_transit:
+      self.peers.drop(self.rng.randrange(len(self.peers.in_transit)))
 
   def finish(self):
     if self.peers.running:
@@ -76,8 +76,8 @@
       index = self.rng.randrange(len(self.peers.running))
       self.peers.finish_task(index, code)
 
-  def see_view(self):
-    self.peers.see_view(self.rng.choice(self.awake()))
+  def deliver_view(self):
+    self.peers.deliver_view(self.rng.choice(self.awake()))
 
   def tick(self):
     self.peers.tick(self.rng.choice((0.02, 0.05, 0.3)), self.awake())
@@ -94,11 +94,11 @@
     kind = self.rng.choice(("crash", "pause", "leave"))
     if kind == "crash":
       self.peers.crash(name)
-      self.peers.lapse(name)
+      self.peers.expire_member(name)
       self.spare.append(name)
     elif kind == "pause":
       self.asleep = name
-      self.peers.lapse(name)
+      self.peers.expire_member(name)
     else:
       self.peers.put_member(name, leaving=True)
 
@@ -107,7 +107,7 @@
       return
     if self.asleep:
       self.wake()
-    self.peers.settle()
+    self.peers.run_until_idle()
     self.failed = False
 
   def wake(self):
@@ -122,21 +122,21 @@
         [self.submit] * 3
         + [self.cancel]
         + [self.deliver] * 20
-        + [self.see_view] * 8
+        + [self.deliver_view] * 8
         + [self.tick] * 6
         + [self.finish] * 4
-        + [self.join, self.fail, self.heal, self.lose]
+        + [self.join, self.fail, self.heal, self.drop]
     )
     for _ in range(STEPS):
       self.rng.choice(steps)()
       self.check()
     self.heal()
-    self.peers.settle()
+    self.peers.run_until_idle()
     self.submit()
-    self.peers.settle()
+    self.peers.run_until_idle()
     while self.peers.running:
       self.finish()
-    self.peers.settle()
+    self.peers.run_until_idle()
     self.check()
 
   def check(self):
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,26 +1,30 @@
-"""Imports point one way: decisions know no adapter, stand-in or tool."""
+"""Checks the dependency rule between the package's layers.
+
+Decision code must not import adapters, stand-ins or tools.
+"""
 
 import ast
 import pathlib
 
 PACKAGE = pathlib.Path(__file__).resolve().parent.parent / "fescueturn"
-# What each room of the package may import beside itself and the base modules.
-ROOMS = {
+# The layers, each with the others that it may import besides the base modules,
+# which are the layer "".
+LAYERS = {
     "": set(),
     "scheduler": set(),
     "platform": {"scheduler"},
     "emulator": {"scheduler"},
-    # The platform's stand-in serves the platform's wire.
+    # The platform's stand-in implements the platform's HTTP interface.
     "standins": {"platform"},
     "lab": {"standins", "emulator", "scheduler", "platform"},
 }
-# The command line joins everything.
-JOINS = {"cli.py", "__main__.py"}
+# The command line may import every layer.
+UNRESTRICTED = {"cli.py", "__main__.py"}
 
 
-def room_of(module: str) -> str:
+def layer_of(module: str) -> str:
   parts = module.split(".")
-  return parts[1] if len(parts) > 1 and parts[1] in ROOMS else ""
+  return parts[1] if len(parts) > 1 and parts[1] in LAYERS else ""
 
 
 def imported(path: pathlib.Path) -> set[str]:
@@ -34,31 +38,31 @@
   return {name for name in found if name.startswith("fescueturn")}
 
 
-def test_rooms_import_only_what_they_may():
-  wrong = []
+def test_layers_import_only_allowed_layers():
+  violations = []
   for path in PACKAGE.rglob("*.py"):
     relative = path.relative_to(PACKAGE)
-    if str(relative) in JOINS:
+    if str(relative) in UNRESTRICTED:
       continue
-    room = relative.parts[0] if len(relative.parts) > 1 else ""
+    layer = relative.parts[0] if len(relative.parts) > 1 else ""
     for module in imported(path):
-      other = room_of(module)
-      if other and other != room and other not in ROOMS[room]:
-        wrong.append(f"{relative} imports {module}")
-  assert wrong == []
+      other = layer_of(module)
+      if other and other != layer and other not in LAYERS[layer]:
+        violations.append(f"{relative} imports {module}")
+  assert violations == []
 
 
-def test_every_room_is_packaged():
+def test_every_layer_is_packaged():
   listed = (PACKAGE.parent / "pyproject.toml").read_text()
-  for room in ROOMS:
-    name = f"fescueturn.{room}" if room else "fescueturn"
+  for layer in LAYERS:
+    name = f"fescueturn.{layer}" if layer else "fescueturn"
     assert f'"{name}"' in listed
 
 
-def test_only_the_adapter_knows_the_platforms_names():
-  words = ("minion", "phases", "bestEffort", "fencingToken", "kv-txn")
+def test_only_the_adapter_contains_names_of_the_platform():
+  platform_names = ("minion", "phases", "bestEffort", "fencingToken", "kv-txn")
   for path in PACKAGE.rglob("*.py"):
     if "platform" in path.relative_to(PACKAGE).parts[:1]:
       continue
     text = path.read_text()
-    assert not [w for w in words if w in text], path
+    assert not [name for name in platform_names if name in text], path
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -25,7 +25,7 @@
       return data.decode().splitlines()
 
 
-def test_lines_above_the_rate_are_left_out_and_counted_by_event():
+def test_lines_above_the_rate_are_dropped_and_counted_by_event():
   clock = [100.0]
   reader, sink = sink_on_pipe(clock)
   for number in range(1000):
@@ -40,7 +40,7 @@
   assert sink.dropped_lines == 0
 
 
-def test_reader_that_stops_reading_stalls_nothing():
+def test_reader_that_stops_reading_does_not_block_the_sink():
   clock = [100.0]
   reader, sink = sink_on_pipe(clock)
   for number in range(20_000):
@@ -55,7 +55,7 @@
   assert sink.dropped_lines == 0
 
 
-def test_reader_that_is_gone_stalls_nothing():
+def test_closed_pipe_does_not_block_the_sink():
   clock = [100.0]
   reader, sink = sink_on_pipe(clock)
   os.close(reader)
@@ -63,7 +63,7 @@
   sink.tick(200.0)
 
 
-def test_what_a_library_logs_is_one_of_our_lines():
+def test_library_log_record_becomes_one_line_of_our_format():
   clock = [100.0]
   reader, writer = os.pipe()
   sink = logs.BoundedSink(writer, lambda: clock[0])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The platform loops against a fake platform client."""
+"""Tests the loops that follow the platform against a fake client."""
 
 import random
 
@@ -18,13 +18,20 @@
 
 
 class _FakeKv:
-  """A platform client over a `KvStore`; `losing` counts replies to lose."""
+  """A platform client over an in-memory `KvStore`, with injected faults.
+
+  Attributes:
+    replies_to_lose: number of following transactions that lose their reply.
+    apply_lost_writes: whether transactions that lose their reply take effect.
+    during_outage: callbacks that the next watches run before they fail, one
+      each.
+  """
 
   def __init__(self):
     self.store = kvstore.KvStore()
-    self.losing = 0
+    self.replies_to_lose = 0
     self.apply_lost_writes = True
-    self.missed = []  # What happens while a watch is broken.
+    self.during_outage = []
 
   async def grant(self, ttl_ms):
     return self.store.grant(ttl_ms / 1000, now=0.0)
@@ -34,8 +41,8 @@
       raise kvtypes.LeaseGoneError("gone")
 
   async def transact(self, wanted):
-    if self.losing:
-      self.losing -= 1
+    if self.replies_to_lose:
+      self.replies_to_lose -= 1
       if self.apply_lost_writes:
         self.store.transact(wanted)
       raise errors.KvError("reply lost")
@@ -46,8 +53,8 @@
 
   async def watch(self, prefix, after, wait_ms):
     del wait_ms
-    if self.missed:
-      self.missed.pop()()
+    if self.during_outage:
+      self.during_outage.pop()()
       raise kvtypes.HistoryGoneError("compacted")
     while not (changes := self.store.changes(prefix, after)):
       await curio.sleep(0.005)
@@ -72,27 +79,27 @@
   return curio.timeout_after(10, wait)
 
 
-def test_member_write_that_failed_is_written_again():
+def test_failed_member_write_is_retried():
   kv, seen = _FakeKv(), _Events()
-  kv.losing, kv.apply_lost_writes = 2, False
+  kv.replies_to_lose, kv.apply_lost_writes = 2, False
   keeper = membership.LeaseKeeper(kv, "dc", ME, 0.06, lambda: 100.0)
 
-  async def go():
+  async def run():
     task = await curio.spawn(keeper.run, seen.apply, backoff())
     await until(lambda: kv.store.get("/members/dc/entry-1"))
     await task.cancel()
 
-  curio.run(go)
+  curio.run(run)
   item = kv.store.get("/members/dc/entry-1")
   member = membership.parse_member(item.key, item.value)
   assert (member.boot, member.lease) == ("boot-1", keeper.lease)
   assert seen[0] == events.LeaseRenewed(keeper.lease, 100.06)
 
 
-def test_members_come_one_change_at_a_time_and_bad_ones_are_left_out():
+def test_member_changes_are_applied_one_by_one_without_invalid_ones():
   kv, seen = _FakeKv(), _Events()
 
-  async def go():
+  async def run():
     task = await curio.spawn(
         membership.members_loop, kv, "dc", seen.apply, backoff()
     )
@@ -104,33 +111,33 @@
     await until(lambda: len(seen) == 4)
     await task.cancel()
 
-  curio.run(go)
+  curio.run(run)
   assert seen[0] == events.MembersChanged((), gap=True)
   assert [e.members for e in seen[1:]] == [(PEER,), (PEER,), ()]
   assert not any(e.gap for e in seen[1:])
 
 
-def test_team_removed_while_the_watch_was_broken_is_removed_here():
+def test_team_removed_while_the_watch_failed_is_removed():
   kv, seen = _FakeKv(), _Events()
   key = membership.team_key("altamaha")
   kv.store.put(key, TEAM_TEXT)
   removal = kvtypes.Transaction(removes=(key,))
-  kv.missed.append(lambda: kv.store.transact(removal))
+  kv.during_outage.append(lambda: kv.store.transact(removal))
 
-  async def go():
+  async def run():
     task = await curio.spawn(
         membership.teams_loop, kv, seen.apply, backoff(), 0.0
     )
     await until(lambda: len(seen) == 2)
     await task.cancel()
 
-  curio.run(go)
+  curio.run(run)
   assert seen[0].team_settings.service == "speller"
   assert seen[1].team_settings is None
   assert seen[1].revision > seen[0].revision
 
 
-def test_settings_changed_in_a_silence_are_in_force_within_five_seconds():
+def test_settings_take_effect_within_five_seconds_if_a_watch_goes_unanswered():
   waits_ms = []
 
   class Silent(_FakeKv):
@@ -140,15 +147,15 @@
       waits_ms.append(wait_ms)
       raise errors.KvError("no answer")
 
-  async def go():
+  async def run():
     task = await curio.spawn(
         membership.teams_loop, Silent(), _Events().apply, backoff(), 0.0
     )
     await until(lambda: waits_ms)
     await task.cancel()
 
-  curio.run(go)
+  curio.run(run)
   longest_pause_s = 1.5 * membership.SETTINGS_BACKOFF_MAX_S
   settings_pause_s = settings.EntrySettings.settings_pause_s
-  given_up_s = max(waits_ms) / 1000 + store.WATCH_SLACK_S
-  assert given_up_s + longest_pause_s + settings_pause_s < 5.0
+  watch_timeout_s = max(waits_ms) / 1000 + store.WATCH_SLACK_S
+  assert watch_timeout_s + longest_pause_s + settings_pause_s < 5.0
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -37,7 +37,7 @@
         (lambda b: b.pop("team"), codes.Code.BAD_FIELD),
     ],
 )
-def test_bad_jobs_are_refused_with_a_code(mutate, code):
+def test_invalid_jobs_are_rejected_with_a_code(mutate, code):
   body = json.loads(json.dumps(BODY))
   mutate(body)
   with pytest.raises(errors.BadRequestError) as caught:
@@ -45,7 +45,7 @@
   assert caught.value.code == code
 
 
-def test_bad_json_and_missing_key():
+def test_invalid_json_and_missing_key_are_rejected():
   with pytest.raises(errors.BadRequestError) as caught:
     messages.parse_job(b"\xff", "k")
   assert caught.value.code == codes.Code.BAD_JSON
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -35,7 +35,7 @@
   for first, second in itertools.permutations("abc", 2):
     peers = fakepeers.Peers("abc")
     one, two = peers.submit(first), peers.submit(second)
-    peers.settle()
+    peers.run_until_idle()
     assert_started_once(peers)
     assert peers.answer(one) == peers.answer(two)
     assert peers.answer(one).complete
@@ -45,11 +45,11 @@
   peers = fakepeers.Peers("abcd", finish_tasks=False)
   key = key_held_by("a", "b")
   peers.submit("c", key)
-  peers.settle(2)
+  peers.run_until_idle(2)
   assert_started_once(peers, key)
   peers.crash("c")
   again = peers.submit("d", key)
-  peers.settle()
+  peers.run_until_idle()
   answer = peers.answer(again)
   assert_started_once(peers, key)
   assert {t.code for t in answer.tasks} == {codes.Code.TASK_UNKNOWN_OWNER_LOST}
@@ -60,10 +60,10 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   first = peers.submit("c", key)
-  peers.settle(2)
+  peers.run_until_idle(2)
   peers.crash("c")
   again = peers.submit("d", key)
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(again) == peers.answer(first)
   assert_started_once(peers, key)
 
@@ -72,22 +72,22 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   peers.submit("c", key)  # Its claims are on their way; c pauses here.
-  held_back, peers.letters = peers.letters, []
-  peers.lapse("c")
+  held_back, peers.in_transit = peers.in_transit, []
+  peers.expire_member("c")
   for name in "abd":
-    peers.see_view(name)
+    peers.deliver_view(name)
   again = peers.submit("d", key)
-  peers.settle(0)
+  peers.run_until_idle(0)
   for _ in range(20):
-    while peers.letters:
+    while peers.in_transit:
       peers.deliver(0)
     peers.tick(names="abd")
   assert peers.answer(again).complete
-  peers.letters = held_back  # c wakes, in its old view.
-  while peers.letters:
+  peers.in_transit = held_back  # c wakes, in its old view.
+  while peers.in_transit:
     peers.deliver(0)
   assert_started_once(peers, key)
-  peers.settle()
+  peers.run_until_idle()
   assert_started_once(peers, key)
 
 
@@ -100,23 +100,23 @@
   )
   peers = fakepeers.Peers("abcd")
   peers.crash("a")
-  peers.lapse("a")
+  peers.expire_member("a")
   for _ in range(3):
     for name in "bd":  # c does not see that a has gone.
       while peers.views[name]:
-        peers.see_view(name)
-    while peers.letters:
+        peers.deliver_view(name)
+    while peers.in_transit:
       peers.deliver(0)
     peers.tick(names="bd")
   peers.submit("c", key)
-  while peers.letters:
+  while peers.in_transit:
     peers.deliver(0)
   for name in "bc":
     peers.crash(name)
-    peers.lapse(name)
-  peers.settle()
+    peers.expire_member(name)
+  peers.run_until_idle()
   again = peers.submit("d", key)
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -124,13 +124,13 @@
 def test_holders_replaced_by_new_hosts_still_know_the_claim():
   peers = fakepeers.Peers("ab")
   peers.submit("a")
-  peers.settle()
+  peers.run_until_idle()
   for name in "cdefgh":
     peers.join(name)
-  peers.settle()
+  peers.run_until_idle()
   for name in "cdefgh":
     again = peers.submit(name)
-    peers.settle()
+    peers.run_until_idle()
     assert peers.answer(again).complete
   assert_started_once(peers)
 
@@ -140,19 +140,19 @@
   key = key_held_by("c", "d", names)
   peers = fakepeers.Peers("ab")
   peers.submit("a", key)
-  peers.settle()
+  peers.run_until_idle()
   peers.join("c")
   peers.join("d")
   for name in names:
     while peers.views[name]:
-      peers.see_view(name)
-  syncs, peers.letters = peers.letters, []
+      peers.deliver_view(name)
+  syncs, peers.in_transit = peers.in_transit, []
   again = peers.submit("d", key)
-  while peers.letters:
+  while peers.in_transit:
     peers.deliver(0)
   assert again not in peers.outcomes
-  peers.letters = syncs
-  peers.settle()
+  peers.in_transit = syncs
+  peers.run_until_idle()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -161,19 +161,19 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   first = peers.submit("c", key)
-  peers.settle()
+  peers.run_until_idle()
   for name in "ab":
     peers.put_member(name, leaving=True)
-    peers.settle()
+    peers.run_until_idle()
   for name in "ab":
     peers.crash(name)
-    peers.lapse(name)
-  peers.settle()
+    peers.expire_member(name)
+  peers.run_until_idle()
   peers.crash("c")
-  peers.lapse("c")
-  peers.settle()
+  peers.expire_member("c")
+  peers.run_until_idle()
   again = peers.submit("d", key)
-  peers.settle()
+  peers.run_until_idle()
   assert_started_once(peers, key)
   assert peers.answer(again).job_id == peers.answer(first).job_id
 
@@ -184,18 +184,18 @@
     peers = fakepeers.Peers()
     for name, rack in racks.items():
       peers.join(name, rack=rack)
-    peers.settle(10)
+    peers.run_until_idle(10)
     keys = [f"key-{i}" for i in range(20)]
     for key in keys:
       peers.submit("a" if lost == "r1" else "c", key)
-    peers.settle(2)
+    peers.run_until_idle(2)
     for name in [n for n, rack in racks.items() if rack == lost]:
       peers.crash(name)
     for name in [n for n, rack in racks.items() if rack == lost]:
-      peers.lapse(name)
-    peers.settle(10)
+      peers.expire_member(name)
+    peers.run_until_idle(10)
     again = {k: peers.submit(next(iter(peers.hosts)), k) for k in keys}
-    peers.settle(10)
+    peers.run_until_idle(10)
     for key in keys:
       assert_started_once(peers, key)
       assert peers.answer(again[key]).complete
@@ -205,29 +205,29 @@
   peers = fakepeers.Peers("abc")
   for name in "abc":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.settle(2)
+  peers.run_until_idle(2)
   peers.tick(10 * fakepeers.TTL_S)
-  peers.settle()
+  peers.run_until_idle()
   done = peers.submit("a", "during")
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(done).complete
 
 
 def test_host_that_alone_lost_the_platform_stops_and_holds_nobody_up():
   peers = fakepeers.Peers("abc")
   peers.put_member("a", lease_s=fakepeers.TTL_S)
-  peers.settle(2)
+  peers.run_until_idle(2)
   peers.tick(fakepeers.TTL_S)  # a's lease lapses; b and c renew theirs.
   for name in "bc":
     peers.put_member(name)
-  while peers.letters:
+  while peers.in_transit:
     peers.deliver(0)
   assert not any(peers.hosts[n].membership.promises for n in "bc")
-  assert not peers.hosts["a"].membership.may_hold(peers.now)
-  peers.lapse("a")
-  peers.settle(5)
+  assert not peers.hosts["a"].membership.may_accept_claims(peers.now)
+  peers.expire_member("a")
+  peers.run_until_idle(5)
   done = peers.submit("b")
-  peers.settle(5)
+  peers.run_until_idle(5)
   assert peers.answer(done).complete
 
 
@@ -236,22 +236,22 @@
   key = key_held_by("a", "b", ("a", "b", "c"))
   for name in "ab":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.settle(2)
+  peers.run_until_idle(2)
   # a and b lose the platform and c, but not each other.
-  peers.cut = {frozenset("ac"), frozenset("bc")}
-  peers.lapse("a")
-  peers.lapse("b")
+  peers.broken_links = {frozenset("ac"), frozenset("bc")}
+  peers.expire_member("a")
+  peers.expire_member("b")
   while peers.views["c"]:
-    peers.see_view("c")
+    peers.deliver_view("c")
   for _ in range(100):
     for name in "ab":
       peers.views[name].clear()
-    while peers.letters:
+    while peers.in_transit:
       peers.deliver(0)
     peers.tick(0.1)
   here, there = peers.submit("c", key), peers.submit("a", key)
   for _ in range(100):
-    while peers.letters:
+    while peers.in_transit:
       peers.deliver(0)
     peers.tick(0.1)
   assert peers.answer(here).complete
@@ -264,23 +264,25 @@
   key = key_held_by("b", "c", ("a", "b", "c"))
   for name in "abc":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.settle(2)
+  peers.run_until_idle(2)
   peers.submit("b", key)
-  peers.settle(2)
+  peers.run_until_idle(2)
   peers.tick(2 * fakepeers.TTL_S)
-  peers.settle(3)  # Lapsed by their own clocks, they promise each other.
+  peers.run_until_idle(
+      3
+  )  # Lapsed by their own clocks, they promise each other.
   for name in "abc":
-    peers.lapse(name)
+    peers.expire_member(name)
   peers.put_member("a")
   while peers.views["a"]:
-    peers.see_view("a")
+    peers.deliver_view("a")
   again = peers.submit("a", key)
   for _ in range(5):
     peers.tick(names="a")
   assert again not in peers.outcomes
   for name in "bc":
     peers.put_member(name)
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -289,19 +291,19 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   cancelled = peers.cancel("c", key)
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(cancelled).code == codes.Code.JOB_CANCELLED
   for name in "cd":
     late = peers.submit(name, key)
-    peers.settle()
+    peers.run_until_idle()
     answer = peers.answer(late)
     assert [t.code for t in answer.tasks] == [
         codes.Code.TASK_NOT_RUN_CANCELLED
     ] * 2
   peers.crash("c")
-  peers.settle()
+  peers.run_until_idle()
   late = peers.submit("d", key)
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(late).code == codes.Code.JOB_CANCELLED
   assert not peers.starts
 
@@ -309,9 +311,9 @@
 def test_cancel_reaches_a_running_job_at_another_host():
   peers = fakepeers.Peers("abc", finish_tasks=False)
   job = peers.submit("a")
-  peers.settle(2)
+  peers.run_until_idle(2)
   cancel = peers.cancel("c")
-  peers.settle()
+  peers.run_until_idle()
   assert peers.answer(job).code == codes.Code.JOB_FAILED
   assert peers.answer(cancel) == peers.answer(job)
   assert_started_once(peers)
@@ -327,7 +329,9 @@
       view = state.membership.view.digest
       return real(state, type(request)(view, request.claim))
 
-    monkeypatch.setitem(reducer._ANSWERS, claims.ClaimRequest, any_view)
+    monkeypatch.setitem(
+        reducer._REQUEST_HANDLERS, claims.ClaimRequest, any_view
+    )
     check = test_claim_made_in_an_old_view_does_not_count
   else:
     monkeypatch.setattr(views.Membership, "trusts", lambda self, key: True)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -80,7 +80,7 @@
   assert outcome.retry_after_s == 3
 
 
-def test_framing_reads_messages_back_to_back_and_refuses_truncation():
+def test_framing_reads_consecutive_messages_and_rejects_truncation():
   requests = [claims.ProbeRequest(n, TOKEN) for n in (1, 2)]
   data = b"".join(
       peercodec.encode_request(n, r) for n, r in enumerate(requests)
@@ -98,7 +98,7 @@
     curio.run(framing.read_message, _Stream(data[: len(data) // 2 - 3]))
 
 
-def test_ask_tells_a_dead_peer_from_a_silent_one():
+def test_client_distinguishes_a_dead_peer_from_a_silent_one():
   address = ports.free_address()
   probe = claims.ProbeRequest(1, TOKEN)
 
@@ -106,7 +106,7 @@
     del request
     await curio.sleep(10)
 
-  async def go():
+  async def run():
     client = peer.PeerClient(address)
     with pytest.raises(peer.PeerRefusedError):
       await client.send_request(probe, timeout_s=5)
@@ -117,4 +117,4 @@
     await client.close()
     await server.close()
 
-  curio.run(go)
+  curio.run(run)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -16,7 +16,7 @@
     info = t.pick("speller", now)
     names.append(info and info.name)
     if info:
-      t.started(info.name)
+      t.record_start(info.name)
   return names
 
 
@@ -24,7 +24,7 @@
   t = table(conftest.endpoint("e1"), conftest.endpoint("e2"))
   assert sorted(picks(t, 4)) == ["e1", "e1", "e2", "e2"]
   assert t.pick("speller", 0.0) is None
-  t.finished("e2")
+  t.record_finish("e2")
   assert t.pick("speller", 0.0).name == "e2"
 
 
@@ -39,29 +39,29 @@
 def test_endpoint_that_fails_fast_does_not_draw_the_tasks():
   t = table(conftest.endpoint("bad", slots=4), conftest.endpoint("good", 4))
   for n in range(placement.FAILURES_TO_EJECT):
-    t.started("bad")
-    t.finished("bad")
-    t.failed("bad", f"job-{n}", now=0.0)
+    t.record_start("bad")
+    t.record_finish("bad")
+    t.record_failure("bad", f"job-{n}", now=0.0)
   assert picks(t, 5, now=1.0) == ["good"] * 4 + [None]
   later = placement.EJECT_MIN_S + 0.1
   assert t.pick("speller", later).name == "bad"
   for n in range(placement.FAILURES_TO_EJECT):
-    t.failed("bad", f"job-{n}", now=later)
+    t.record_failure("bad", f"job-{n}", now=later)
   assert t.pick("speller", later + placement.EJECT_MIN_S + 0.1) is None
 
 
 def test_one_job_that_fails_everywhere_blames_no_endpoint():
   t = table(conftest.endpoint("e1"))
   for _ in range(10):
-    t.failed("e1", "poison", now=0.0)
+    t.record_failure("e1", "poison", now=0.0)
   assert t.pick("speller", 0.0).name == "e1"
 
 
 def test_slow_endpoint_gets_fewer_tasks():
   t = table(conftest.endpoint("slow", slots=8), conftest.endpoint("quick", 8))
   for _ in range(20):
-    t.succeeded("slow", elapsed_ms=400.0, declared_ms=100.0)
-    t.succeeded("quick", elapsed_ms=100.0, declared_ms=100.0)
+    t.record_success("slow", elapsed_ms=400.0, declared_ms=100.0)
+    t.record_success("quick", elapsed_ms=100.0, declared_ms=100.0)
   first = picks(t, 8)
   assert first.count("quick") >= 6
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -52,7 +52,7 @@
         ("[entry\n", codes.Code.SETTINGS_BAD_VALUE),
     ],
 )
-def test_bad_settings_name_their_field_and_code(text, code):
+def test_invalid_settings_are_rejected_with_a_code(text, code):
   with pytest.raises(errors.SettingsError) as caught:
     settings.loads(text, source="t.ini")
   assert caught.value.code == code
--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -1,4 +1,8 @@
-"""Model checking of spec/*.pml with spin; each mutant must be refuted."""
+"""Model-checks spec/*.pml with spin.
+
+Each protocol must hold, and each mutant, which lacks one of its rules, must
+violate a given assertion.
+"""
 
 import pathlib
 import shutil
@@ -15,7 +19,7 @@
 
 
 def check(tmp_path, spec, *defines):
-  """Checks one spec; returns what the verifier printed."""
+  """Verifies one model, built with `defines`; returns spin's output."""
   assert shutil.which("spin"), "spin is not installed (.ci/run installs it)"
   shutil.copy(SPECS / spec, tmp_path / spec)
 
@@ -32,8 +36,8 @@
 @pytest.mark.parametrize(
     ("spec", "defines"),
     [
-        ("claims.pml", ["-DJOINS=0"]),  # A host fails.
-        ("claims.pml", ["-DFAILURES=0"]),  # A host joins.
+        ("claims.pml", ["-DJOINS=0"]),  # With a failing host.
+        ("claims.pml", ["-DFAILURES=0"]),  # With a joining host.
         ("answer.pml", []),
         ("settings.pml", []),
         ("shards.pml", []),
--- a/tests/test_timer.py
+++ b/tests/test_timer.py
@@ -3,7 +3,7 @@
 from fescueturn import timer
 
 
-def test_shorter_period_begins_at_once():
+def test_shorter_period_takes_effect_immediately():
   clock = timer.TimerService(60.0)
   ticked = curio.Event()
 
