--- a/fescueturn/membership.py
+++ b/fescueturn/membership.py
@@ -232,7 +232,7 @@
         found = await kv.range(prefix)
         revision = found.revision
         members = {i.key: parse_member(i.key, i.value) for i in found.items}
-        await apply(_view(members, gap=True))
+        await apply(_members_event(members, gap=True))
       changes = await kv.watch(prefix, revision, WATCH_MS)
       revision = changes.revision
       backoff.reset()
@@ -246,10 +246,10 @@
       members.pop(change.key, None)
       if change.value is not None:
         members[change.key] = parse_member(change.key, change.value)
-      await apply(_view(members))
+      await apply(_members_event(members))
 
 
-def _view(members, gap: bool = False) -> events.MembersChanged:
+def _members_event(members, gap: bool = False) -> events.MembersChanged:
   found = tuple(m for m in members.values() if m is not None)
   return events.MembersChanged(found, gap)
 
--- a/fescueturn/settings.py
+++ b/fescueturn/settings.py
@@ -233,20 +233,20 @@
       (unknown key or section).
   """
   parser = _read(text, source)
-  sections = {}
+  validated = {}
   for section in parser.sections():
     if section not in _SECTIONS:
       raise errors.SettingsError(
           f"[{section}]: unknown section", codes.Code.SETTINGS_UNKNOWN_KEY
       )
-    sections[section] = _build(
+    validated[section] = _build(
         section, _SECTIONS[section], dict(parser[section])
     )
-  if "process" not in sections:
+  if "process" not in validated:
     raise errors.SettingsError(
         "[process]: required", codes.Code.SETTINGS_MISSING
     )
-  return Settings(**sections)
+  return Settings(**validated)
 
 
 def load(path: str) -> Settings:
--- a/tests/test_httpio.py
+++ b/tests/test_httpio.py
@@ -21,7 +21,7 @@
   async def closing(request):
     return httpio.with_connection_close(await hello(request))
 
-  async def run():
+  async def scenario():
     server = httpio.Server(address, closing)
     await server.start()
     pool = httpio.Pool(address)
@@ -40,13 +40,13 @@
       await pool.request("GET", "/", timeout_s=5)
     return statuses
 
-  assert curio.run(run) == [200, 200, 200]
+  assert curio.run(scenario) == [200, 200, 200]
 
 
 def test_body_over_the_limit_is_refused():
   address = ports.free_address()
 
-  async def run():
+  async def scenario():
     server = httpio.Server(address, hello, max_body=10)
     await server.start()
     pool = httpio.Pool(address)
@@ -54,7 +54,7 @@
     await server.close()
     return response.status
 
-  assert curio.run(run) == 413
+  assert curio.run(scenario) == 413
 
 
 def test_response_that_arrived_in_time_counts_even_if_read_late():
@@ -78,23 +78,23 @@
   async def block_event_loop():
     time.sleep(0.2)
 
-  async def run():
+  async def scenario():
     pool = httpio.Pool(settings.Address("127.0.0.1", port))
     pending = await curio.spawn(pool.request, "GET", "/", b"", (), 0.1)
     await curio.sleep(0)
     await curio.spawn(block_event_loop)
     return (await pending.join()).status
 
-  assert curio.run(run) == 200
+  assert curio.run(scenario) == 200
 
 
 def test_missing_response_counts_as_lost_after_the_timeout():
   listening = socket.create_server(("127.0.0.1", 0))
   port = listening.getsockname()[1]
 
-  async def run():
+  async def scenario():
     pool = httpio.Pool(settings.Address("127.0.0.1", port))
     with pytest.raises(httpio.LostReplyError):
       await pool.request("GET", "/", timeout_s=0.05)
 
-  curio.run(run)
+  curio.run(scenario)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -84,12 +84,12 @@
   kv.replies_to_lose, kv.apply_lost_writes = 2, False
   keeper = membership.LeaseKeeper(kv, "dc", ME, 0.06, lambda: 100.0)
 
-  async def run():
+  async def scenario():
     task = await curio.spawn(keeper.run, seen.apply, backoff())
     await until(lambda: kv.store.get("/members/dc/entry-1"))
     await task.cancel()
 
-  curio.run(run)
+  curio.run(scenario)
   item = kv.store.get("/members/dc/entry-1")
   member = membership.parse_member(item.key, item.value)
   assert (member.boot, member.lease) == ("boot-1", keeper.lease)
@@ -99,7 +99,7 @@
 def test_member_changes_are_applied_one_by_one_without_invalid_ones():
   kv, seen = _FakeKv(), _Events()
 
-  async def run():
+  async def scenario():
     task = await curio.spawn(
         membership.members_loop, kv, "dc", seen.apply, backoff()
     )
@@ -111,7 +111,7 @@
     await until(lambda: len(seen) == 4)
     await task.cancel()
 
-  curio.run(run)
+  curio.run(scenario)
   assert seen[0] == events.MembersChanged((), gap=True)
   assert [e.members for e in seen[1:]] == [(PEER,), (PEER,), ()]
   assert not any(e.gap for e in seen[1:])
@@ -124,14 +124,14 @@
   removal = kvtypes.Transaction(removes=(key,))
   kv.during_outage.append(lambda: kv.store.transact(removal))
 
-  async def run():
+  async def scenario():
     task = await curio.spawn(
         membership.teams_loop, kv, seen.apply, backoff(), 0.0
     )
     await until(lambda: len(seen) == 2)
     await task.cancel()
 
-  curio.run(run)
+  curio.run(scenario)
   assert seen[0].team_settings.service == "speller"
   assert seen[1].team_settings is None
   assert seen[1].revision > seen[0].revision
@@ -147,14 +147,14 @@
       waits_ms.append(wait_ms)
       raise errors.KvError("no answer")
 
-  async def run():
+  async def scenario():
     task = await curio.spawn(
         membership.teams_loop, Silent(), _Events().apply, backoff(), 0.0
     )
     await until(lambda: waits_ms)
     await task.cancel()
 
-  curio.run(run)
+  curio.run(scenario)
   longest_pause_s = 1.5 * membership.SETTINGS_BACKOFF_MAX_S
   settings_pause_s = settings.EntrySettings.settings_pause_s
   watch_timeout_s = max(waits_ms) / 1000 + store.WATCH_SLACK_S
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -106,7 +106,7 @@
     del request
     await curio.sleep(10)
 
-  async def run():
+  async def scenario():
     client = peer.PeerClient(address)
     with pytest.raises(peer.PeerRefusedError):
       await client.send_request(probe, timeout_s=5)
@@ -117,4 +117,4 @@
     await client.close()
     await server.close()
 
-  curio.run(run)
+  curio.run(scenario)
