--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -71,7 +71,7 @@
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
   """Takes one holder's verdict, or its silence."""
-  request = event.request.message
+  request = event.peer_request.message
   record = state.jobs.get(request.claim.key)
   if record is None or record.phase is not state_lib.Phase.CLAIMING:
     return []
@@ -80,7 +80,7 @@
     return []
   if record.number != request.claim.number:
     return []
-  name = event.request.member.name
+  name = event.peer_request.member.name
   round_.replies[name] = event.reply
   if event.dead:
     round_.dead.add(name)
@@ -175,15 +175,15 @@
     state: state_lib.EntryState, event: events.PeerReplyReceived
 ) -> list:
   """A forwarded request came back: its outcome, or a lost coordinator."""
-  parked = state.forwarded_requests.get(event.request.request_id)
-  if parked is None or parked.member != event.request.member:
+  parked = state.forwarded_requests.get(event.peer_request.request_id)
+  if parked is None or parked.member != event.peer_request.member:
     return []
-  del state.forwarded_requests[event.request.request_id]
+  del state.forwarded_requests[event.peer_request.request_id]
   waiter = parked.waiter
   if event.reply is not None:
     return [events.SendOutcome(waiter.request_id, event.reply)]
   if event.dead:
-    state.dead.add(event.request.member.token)
+    state.dead.add(event.peer_request.member.token)
   state.counters["forward_lost"] += 1
   again = state_lib.Waiter(waiter.request_id, waiter.request, waiter.hops + 1)
   return jobs.handle_request(state, again)
--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -99,7 +99,7 @@
       refuses connections, or another process answers there).
   """
 
-  request: "Ask"
+  peer_request: "Ask"
   reply: claims.Reply | None
   dead: bool = False
 
--- a/fescueturn/explain.py
+++ b/fescueturn/explain.py
@@ -67,8 +67,8 @@
         " confirmed by the store {unheard_ms} ms before"
     ),
     "holder_lost": (
-        "the holder of {data_centre}, {holder}, was lost: {why}; last heard"
-        " from {heard_ms_ago} ms before"
+        "the holder of {data_centre}, {holder}, was lost: {why}; its last"
+        " message came {heard_ms_ago} ms before"
     ),
     "holder_changed": (
         "{data_centre} is now held by {holder}, fencing token {fence}"
--- a/fescueturn/httpio.py
+++ b/fescueturn/httpio.py
@@ -271,7 +271,7 @@
       self._open -= 1
 
   async def close(self):
-    """Stops accepting connections; those already open are served further."""
+    """Stops accepting connections; open ones continue to be served."""
     await self._listener.close()
 
 
--- a/fescueturn/kvtypes.py
+++ b/fescueturn/kvtypes.py
@@ -99,7 +99,7 @@
     """Applies the changes atomically; returns the store's new revision."""
 
   async def grant(self, ttl_ms: int) -> int:
-    """Returns the id of a new lease that expires after `ttl_ms`."""
+    """Returns the id of a new lease of `ttl_ms` milliseconds."""
 
   async def keep_alive(self, lease: int):
     """Renews the lease for its full duration."""
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -169,15 +169,15 @@
   membership = state.membership
   for claim in event.reply.claims if event.reply is not None else ():
     state.claims.merge(claim, state.now)
-  name = event.request.member.name
+  name = event.peer_request.member.name
   sync = membership.sync
-  if sync is None or event.request.message.view != membership.view.digest:
+  if sync is None or event.peer_request.message.view != membership.view.digest:
     return []
   if event.dead or (event.reply is not None and event.reply.ready):
     membership.departed.pop(name, None)
     return _answered(state, name)
   state.schedule(
-      state.now + SYNC_RETRY_S, _ask_again(sync, event.request.member)
+      state.now + SYNC_RETRY_S, _ask_again(sync, event.peer_request.member)
   )
   return []
 
@@ -230,10 +230,10 @@
   """Counts a promise, or a member that surely no longer runs."""
   membership = state.membership
   round_ = membership.probe
-  if round_ is None or event.request.message.view != round_.view:
+  if round_ is None or event.peer_request.message.view != round_.view:
     return []
   if event.dead or (event.reply is not None and event.reply.agrees):
-    round_.awaiting.discard(event.request.member.name)
+    round_.awaiting.discard(event.peer_request.member.name)
     _finish_probe(state)
   return []
 
--- a/fescueturn/reducer.py
+++ b/fescueturn/reducer.py
@@ -95,7 +95,7 @@
 
 
 def _on_peer_reply(state, event: events.PeerReplyReceived) -> list:
-  return _REPLY_HANDLERS[type(event.request.message)](state, event)
+  return _REPLY_HANDLERS[type(event.peer_request.message)](state, event)
 
 
 _REPLY_HANDLERS = {
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -49,7 +49,7 @@
     )
     for name in names:
       self.join(name)
-    self.run_until_idle()
+    self.run_rounds()
 
   def join(self, name, lease_s=FOREVER_S, rack=""):
     """Starts a new process of `name`; the store lists it at once."""
@@ -124,7 +124,7 @@
       if name in self.hosts:
         self._apply(name, events.Tick(self.now))
 
-  def run_until_idle(self, rounds=60):
+  def run_rounds(self, rounds=60):
     """Delivers every view and letter, and ticks, until nothing moves."""
     for _ in range(rounds):
       for name in list(self.hosts):
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -107,7 +107,7 @@
       return
     if self.asleep:
       self.wake()
-    self.peers.run_until_idle()
+    self.peers.run_rounds()
     self.failed = False
 
   def wake(self):
@@ -131,12 +131,12 @@
       self.rng.choice(steps)()
       self.check()
     self.heal()
-    self.peers.run_until_idle()
+    self.peers.run_rounds()
     self.submit()
-    self.peers.run_until_idle()
+    self.peers.run_rounds()
     while self.peers.running:
       self.finish()
-    self.peers.run_until_idle()
+    self.peers.run_rounds()
     self.check()
 
   def check(self):
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -35,7 +35,7 @@
   for first, second in itertools.permutations("abc", 2):
     peers = fakepeers.Peers("abc")
     one, two = peers.submit(first), peers.submit(second)
-    peers.run_until_idle()
+    peers.run_rounds()
     assert_started_once(peers)
     assert peers.answer(one) == peers.answer(two)
     assert peers.answer(one).complete
@@ -45,11 +45,11 @@
   peers = fakepeers.Peers("abcd", finish_tasks=False)
   key = key_held_by("a", "b")
   peers.submit("c", key)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   assert_started_once(peers, key)
   peers.crash("c")
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   answer = peers.answer(again)
   assert_started_once(peers, key)
   assert {t.code for t in answer.tasks} == {codes.Code.TASK_UNKNOWN_OWNER_LOST}
@@ -60,10 +60,10 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   first = peers.submit("c", key)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.crash("c")
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again) == peers.answer(first)
   assert_started_once(peers, key)
 
@@ -77,7 +77,7 @@
   for name in "abd":
     peers.deliver_view(name)
   again = peers.submit("d", key)
-  peers.run_until_idle(0)
+  peers.run_rounds(0)
   for _ in range(20):
     while peers.in_transit:
       peers.deliver(0)
@@ -87,7 +87,7 @@
   while peers.in_transit:
     peers.deliver(0)
   assert_started_once(peers, key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert_started_once(peers, key)
 
 
@@ -114,9 +114,9 @@
   for name in "bc":
     peers.crash(name)
     peers.expire_member(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -124,13 +124,13 @@
 def test_holders_replaced_by_new_hosts_still_know_the_claim():
   peers = fakepeers.Peers("ab")
   peers.submit("a")
-  peers.run_until_idle()
+  peers.run_rounds()
   for name in "cdefgh":
     peers.join(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   for name in "cdefgh":
     again = peers.submit(name)
-    peers.run_until_idle()
+    peers.run_rounds()
     assert peers.answer(again).complete
   assert_started_once(peers)
 
@@ -140,7 +140,7 @@
   key = key_held_by("c", "d", names)
   peers = fakepeers.Peers("ab")
   peers.submit("a", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   peers.join("c")
   peers.join("d")
   for name in names:
@@ -152,7 +152,7 @@
     peers.deliver(0)
   assert again not in peers.outcomes
   peers.in_transit = syncs
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -161,19 +161,19 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   first = peers.submit("c", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   for name in "ab":
     peers.put_member(name, leaving=True)
-    peers.run_until_idle()
+    peers.run_rounds()
   for name in "ab":
     peers.crash(name)
     peers.expire_member(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   peers.crash("c")
   peers.expire_member("c")
-  peers.run_until_idle()
+  peers.run_rounds()
   again = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert_started_once(peers, key)
   assert peers.answer(again).job_id == peers.answer(first).job_id
 
@@ -184,18 +184,18 @@
     peers = fakepeers.Peers()
     for name, rack in racks.items():
       peers.join(name, rack=rack)
-    peers.run_until_idle(10)
+    peers.run_rounds(10)
     keys = [f"key-{i}" for i in range(20)]
     for key in keys:
       peers.submit("a" if lost == "r1" else "c", key)
-    peers.run_until_idle(2)
+    peers.run_rounds(2)
     for name in [n for n, rack in racks.items() if rack == lost]:
       peers.crash(name)
     for name in [n for n, rack in racks.items() if rack == lost]:
       peers.expire_member(name)
-    peers.run_until_idle(10)
+    peers.run_rounds(10)
     again = {k: peers.submit(next(iter(peers.hosts)), k) for k in keys}
-    peers.run_until_idle(10)
+    peers.run_rounds(10)
     for key in keys:
       assert_started_once(peers, key)
       assert peers.answer(again[key]).complete
@@ -205,18 +205,18 @@
   peers = fakepeers.Peers("abc")
   for name in "abc":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.tick(10 * fakepeers.TTL_S)
-  peers.run_until_idle()
+  peers.run_rounds()
   done = peers.submit("a", "during")
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(done).complete
 
 
 def test_host_that_alone_lost_the_platform_stops_and_holds_nobody_up():
   peers = fakepeers.Peers("abc")
   peers.put_member("a", lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.tick(fakepeers.TTL_S)  # a's lease lapses; b and c renew theirs.
   for name in "bc":
     peers.put_member(name)
@@ -225,9 +225,9 @@
   assert not any(peers.hosts[n].membership.promises for n in "bc")
   assert not peers.hosts["a"].membership.may_accept_claims(peers.now)
   peers.expire_member("a")
-  peers.run_until_idle(5)
+  peers.run_rounds(5)
   done = peers.submit("b")
-  peers.run_until_idle(5)
+  peers.run_rounds(5)
   assert peers.answer(done).complete
 
 
@@ -236,7 +236,7 @@
   key = key_held_by("a", "b", ("a", "b", "c"))
   for name in "ab":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   # a and b lose the platform and c, but not each other.
   peers.broken_links = {frozenset("ac"), frozenset("bc")}
   peers.expire_member("a")
@@ -264,13 +264,11 @@
   key = key_held_by("b", "c", ("a", "b", "c"))
   for name in "abc":
     peers.put_member(name, lease_s=fakepeers.TTL_S)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.submit("b", key)
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   peers.tick(2 * fakepeers.TTL_S)
-  peers.run_until_idle(
-      3
-  )  # Lapsed by their own clocks, they promise each other.
+  peers.run_rounds(3)  # Lapsed by their own clocks, they promise each other.
   for name in "abc":
     peers.expire_member(name)
   peers.put_member("a")
@@ -282,7 +280,7 @@
   assert again not in peers.outcomes
   for name in "bc":
     peers.put_member(name)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(again).complete
   assert_started_once(peers, key)
 
@@ -291,19 +289,19 @@
   peers = fakepeers.Peers("abcd")
   key = key_held_by("a", "b")
   cancelled = peers.cancel("c", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(cancelled).code == codes.Code.JOB_CANCELLED
   for name in "cd":
     late = peers.submit(name, key)
-    peers.run_until_idle()
+    peers.run_rounds()
     answer = peers.answer(late)
     assert [t.code for t in answer.tasks] == [
         codes.Code.TASK_NOT_RUN_CANCELLED
     ] * 2
   peers.crash("c")
-  peers.run_until_idle()
+  peers.run_rounds()
   late = peers.submit("d", key)
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(late).code == codes.Code.JOB_CANCELLED
   assert not peers.starts
 
@@ -311,9 +309,9 @@
 def test_cancel_reaches_a_running_job_at_another_host():
   peers = fakepeers.Peers("abc", finish_tasks=False)
   job = peers.submit("a")
-  peers.run_until_idle(2)
+  peers.run_rounds(2)
   cancel = peers.cancel("c")
-  peers.run_until_idle()
+  peers.run_rounds()
   assert peers.answer(job).code == codes.Code.JOB_FAILED
   assert peers.answer(cancel) == peers.answer(job)
   assert_started_once(peers)
