--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -25,7 +25,7 @@
       return data.decode().splitlines()
 
 
-def test_lines_above_the_rate_are_left_out_and_counted_by_event():
+def test_lines_above_the_rate_are_dropped_and_counted_by_event():
   clock = [100.0]
   reader, sink = sink_on_pipe(clock)
   for number in range(1000):
@@ -37,25 +37,25 @@
   assert sum("job_begun job" in line for line in lines) == logs.BURST_LINES
   assert "event=store_lost what=config" in lines
   assert lines[-1] == "event=log_left_out lines=400 by_event=job_begun:400"
-  assert sink.left_out == 0
+  assert sink.dropped_lines == 0
 
 
-def test_reader_that_stops_reading_stalls_nothing():
+def test_reader_that_stops_reading_does_not_block_the_sink():
   clock = [100.0]
   reader, sink = sink_on_pipe(clock)
   for number in range(20_000):
     clock[0] += 1 / logs.LINES_PER_S
     logger.info("event=job_answered job={} {}", number, "x" * 100)
     sink.tick(clock[0])
-  assert sink.left_out > 0
+  assert sink.dropped_lines > 0
   for _ in range(20):
     read_all(reader)
     clock[0] += 0.1
     sink.tick(clock[0])
-  assert sink.left_out == 0
+  assert sink.dropped_lines == 0
 
 
-def test_reader_that_is_gone_stalls_nothing():
+def test_closed_pipe_does_not_block_the_sink():
   clock = [100.0]
   reader, sink = sink_on_pipe(clock)
   os.close(reader)
@@ -63,7 +63,7 @@
   sink.tick(200.0)
 
 
-def test_what_a_library_logs_is_one_of_our_lines():
+def test_library_log_record_becomes_one_line_of_our_format():
   clock = [100.0]
   reader, writer = os.pipe()
   sink = logs.BoundedSink(writer, lambda: clock[0])
