--- a/fescueturn/scheduler/__init__.py
+++ b/fescueturn/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of leased runs: endpoints owned by a host, jobs placed on them."""
+"""The job scheduler: hosts own endpoints and run tasks on them under leases."""
--- a/fescueturn/scheduler/crashes.py
+++ b/fescueturn/scheduler/crashes.py
@@ -165,16 +165,20 @@
   # The losses must be in the store, for the next holder, before another
   # endpoint is put at risk. A first loss doesn't have to wait for a store that
   # is unavailable.
-  wait = losses >= SUSPECTED_LOSSES or not owner.kept_records.stalled(owner.now)
+  must_save_first = (
+      losses >= SUSPECTED_LOSSES or not owner.kept_records.stalled(owner.now)
+  )
   return (
-      wait and job.job.kept and owner.kept_records.has_unsaved_loss(job.job.id)
+      must_save_first
+      and job.job.kept
+      and owner.kept_records.has_unsaved_loss(job.job.id)
   )
 
 
 def is_poison(job: ownerstate.JobRecord, task: ownerstate.TaskRecord) -> bool:
   """Returns whether a task surely crashes the endpoints that start it."""
-  sure = len(task.crashed) >= CONFIRMED_CRASHES_TO_GIVE_UP
-  return sure and _count_losses(task) >= _max_losses(job)
+  confirmed = len(task.crashed) >= CONFIRMED_CRASHES_TO_GIVE_UP
+  return confirmed and _count_losses(task) >= _max_losses(job)
 
 
 def crashed_recently(owner: ownerstate.Owner, record) -> bool:
@@ -185,10 +189,10 @@
 
 def forget_old_crashes(owner: ownerstate.Owner):
   """Removes crashes and unconfirmed losses that are too old to be relevant."""
-  old = [
+  old_addresses = [
       a for a, at in owner.crashed_at.items() if owner.now - at > RECENT_CRASH_S
   ]
-  for address in old:
+  for address in old_addresses:
     del owner.crashed_at[address]
   unconfirmed = [
       name
--- a/fescueturn/scheduler/endpointstate.py
+++ b/fescueturn/scheduler/endpointstate.py
@@ -9,10 +9,10 @@
 
 from fescueturn.scheduler import model
 
-# The platform allows up to 1,000 ms. A run may outlive its coordinator by the
-# time in which the holder detects the failure (400 ms) and one lease, and must
-# be over when the caller comes back after 1,300 ms. Leases are renewed every
-# 300 ms, so that one renewal may be lost.
+# The platform allows leases of up to 1,000 ms. A run may outlive its coordinator
+# by the time in which the holder detects the failure (400 ms) and one lease, and
+# must have ended when the caller retries after 1,300 ms. Leases are renewed
+# every 300 ms, so that one renewal may be lost.
 LEASE_MS = 800
 # A lease counts as expired this long after its end on the estimated clock of
 # the endpoint, which never runs ahead of the real one. The margin covers the 2%
@@ -44,9 +44,9 @@
 # entry may have an address where nothing listens, and a connection there hangs
 # for 0.25 s.
 FIRST_CALL_MAX_BACKOFF_S = 1.0
-# The minimum interval of lease calls to an endpoint with ends that are not in
-# the store yet, which takes some 25 ms. It answers such calls at once, without
-# a long poll, since it lists these ends each time.
+# The minimum interval of lease calls to an endpoint with ended runs that are
+# not in the store yet; a write takes some 25 ms. The endpoint answers such calls
+# at once, without a long poll, since it lists these runs each time.
 UNSAVED_CALL_INTERVAL_S = 0.15
 # An unlisted endpoint that has been silent for this long is forgotten with all
 # its runs. A lost start request is carried out at most 12 s late.
@@ -54,8 +54,6 @@
 # The weight of the newest run in an endpoint's slowness. The average converges
 # after some eight runs, which is one to two seconds of work.
 SLOWNESS_GAIN = 0.25
-
-
 # A run that takes more than this many times its estimate is slowed by its
 # endpoint. Estimates are off by 40% at most and endpoints differ by a quarter,
 # which makes 2.1 times in all.
@@ -151,11 +149,14 @@
     listed: True while the platform lists it.
     runs_known: True once it has listed its runs.
     runs: its runs, of which some may not have started.
-    last_end_number: the highest number of an end that it has listed.
-    unsaved_ends: numbers of ends that must be in the store before it may forget
-      them.
-    last_sent_ack: the number up to which it was last allowed to forget ends.
-    last_saved_end: the highest number of an end that was written to the store.
+    last_end_number: the highest sequence number of an ended run that it has
+      listed.
+    unsaved_ends: numbers of ended runs that must be in the store before it may
+      forget them.
+    last_sent_ack: the number up to which it was last allowed to forget ended
+      runs.
+    last_saved_end: the highest number of an ended run that was written to the
+      store.
     call_number: the number of the last lease call.
     call_pending: True while that call has no answer.
     call_sent_at: when it was sent (s).
@@ -167,8 +168,8 @@
     failed_jobs: jobs whose runs have failed there since the last success.
     slowness: the average ratio of run times to estimates.
     silent_since: since when it has been silent (s); None if it answers.
-    suspected_since: since when it has been probed after a lost call (s); None if
-      it isn't.
+    suspected_since: since when it has been probed after a lost call (s); None
+      if it isn't.
     calls_unanswered: lease calls without an answer since its last answer.
     last_answer_at: when it last answered any call (s).
   """
@@ -211,7 +212,7 @@
 
   @property
   def ack_number(self) -> int:
-    """The number up to which the endpoint may forget ends."""
+    """The number up to which the endpoint may forget ended runs."""
     return (
         min(self.unsaved_ends) - 1
         if self.unsaved_ends
@@ -220,11 +221,11 @@
 
   @property
   def has_unsent_ack(self) -> bool:
-    """True if ends that were saved haven't been acknowledged yet."""
+    """True if ended runs that were saved haven't been acknowledged yet."""
     return self.last_saved_end > self.last_sent_ack
 
   def record_saved_end(self, number: int):
-    """Records that an end is in the store."""
+    """Records that an ended run is in the store."""
     self.unsaved_ends.discard(number)
     self.last_saved_end = max(self.last_saved_end, number)
 
@@ -266,7 +267,7 @@
     return len(self.runs) < self.info.slots and self._free.fits(need)
 
   def update_clock(self, clock_ms: int | None, now: float):
-    """Records an answer with the endpoint's clock; it is no longer silent.
+    """Records the endpoint's clock from an answer, and marks it as not silent.
 
     Args:
       clock_ms: the endpoint's clock; None if there was no answer.
@@ -408,9 +409,9 @@
     self._slow_jobs.add(run.id.task.job_id)
     if len(self._slow_jobs) < SLOW_JOBS or self.slowness > ratio:
       return False
-    new = self.slowness <= SLOW_RATIO
+    newly_slow = self.slowness <= SLOW_RATIO
     self.slowness = ratio
-    return new
+    return newly_slow
 
   def snapshot(self, now: float) -> dict:
     """Returns a JSON-ready dump."""
--- a/fescueturn/scheduler/events.py
+++ b/fescueturn/scheduler/events.py
@@ -63,7 +63,7 @@
     holder: its holder; None if it has none.
     unreadable_revision: the revision of a claim that exists but cannot be
       parsed; 0 if there is no such claim.
-    follows: the fence number of the immediately preceding holder if that is
+    follows: the fencing token of the immediately preceding holder if that is
       certain; else 0.
   """
 
@@ -218,7 +218,7 @@
     spec: what the task runs.
     deadline_ms: when this call and the lease that covers all of the endpoint's
       runs expire, on the endpoint's clock.
-    fence: the owner's fence number.
+    fence: the owner's fencing token.
   """
 
   endpoint: model.Endpoint
@@ -256,7 +256,7 @@
       not known yet.
     wait_ms: how long the endpoint may wait for a run to end before it
       responds.
-    fence: the owner's fence number.
+    fence: the owner's fencing token.
   """
 
   endpoint: model.Endpoint
@@ -309,7 +309,7 @@
   Attributes:
     shard: the shard to claim.
     replaces: the revision of the existing claim to replace; 0 for none.
-    follows: the shard's last known fence number; 0 for none.
+    follows: the shard's last known fencing token; 0 for none.
   """
 
   shard: model.Shard
--- a/fescueturn/scheduler/keptcodec.py
+++ b/fescueturn/scheduler/keptcodec.py
@@ -20,7 +20,7 @@
       {
           "service": job.service,
           "spec": job.spec,
-          "steps": [_step_row(step) for step in job.steps],
+          "steps": [_encode_step(step) for step in job.steps],
           "attempts": job.attempts,
           "stretch": job.stretch,
           "slo_ms": job.slo_ms,
@@ -29,7 +29,7 @@
   )
 
 
-def _step_row(step: model.Step) -> list:
+def _encode_step(step: model.Step) -> list:
   need = step.need
   return [
       step.count,
@@ -54,7 +54,7 @@
         id=job_id,
         service=raw["service"],
         spec=raw["spec"],
-        steps=tuple(_step(row) for row in raw["steps"]),
+        steps=tuple(_decode_step(row) for row in raw["steps"]),
         attempts=raw["attempts"],
         stretch=raw["stretch"],
         slo_ms=raw["slo_ms"],
@@ -67,7 +67,7 @@
     ) from exc
 
 
-def _step(row: list) -> model.Step:
+def _decode_step(row: list) -> model.Step:
   count, need, estimate_ms, after, requires, near, most = row
   return model.Step(
       count,
--- a/fescueturn/scheduler/keptevents.py
+++ b/fescueturn/scheduler/keptevents.py
@@ -81,7 +81,7 @@
 
   Attributes:
     shard: the shard whose records change.
-    fence: the owner's fence number.
+    fence: the owner's fencing token.
     number: rises with each write of this owner.
     after: the store's revision after the previous write.
     changes: the changes, at most `keptrecords.MAX_CHANGES`.
@@ -129,7 +129,7 @@
 
   Attributes:
     shard: the shard.
-    fence: the fence number of the `LoadKeptJobs`.
+    fence: the fencing token of the `LoadKeptJobs`.
     replaced: True if another holder owns the shard by now; the remaining
       fields are then empty.
     takeovers: how often the records were taken over before.
@@ -151,7 +151,7 @@
 
   Attributes:
     shard: the shard.
-    fence: the fence number of the write.
+    fence: the fencing token of the write.
     number: the number of the write.
     result: the write's result.
     revision: the store's revision, which the next write depends on.
--- a/fescueturn/scheduler/leases.py
+++ b/fescueturn/scheduler/leases.py
@@ -19,9 +19,9 @@
 # The next call then renews the lease with 500 of its 800 ms left, enough for a
 # lost call and its retry.
 LEASE_CALL_WAIT_MS = 300
-# The same wait while calls are being lost. The ends that a lost call would have
-# reported become known this much later, and the shortest tasks have 96 ms to
-# spare.
+# The same wait while calls are being lost. The ended runs that a lost call
+# would have reported become known this much later, and the shortest tasks have
+# 96 ms to spare.
 LOSSY_CALL_WAIT_MS = 60
 # An endpoint counts as silent after this many consecutive lease calls without
 # an answer. With 30% of the calls lost, three in a row are lost one time in
@@ -84,8 +84,11 @@
   """
   if record.call_pending and not (now and record.call_is_long_poll):
     return
-  since_s = owner.now - record.call_sent_at
-  if record.unsaved_ends and since_s < endpointstate.UNSAVED_CALL_INTERVAL_S:
+  since_call_s = owner.now - record.call_sent_at
+  if (
+      record.unsaved_ends
+      and since_call_s < endpointstate.UNSAVED_CALL_INTERVAL_S
+  ):
     return
   record.call_number += 1
   record.call_pending = True
@@ -125,8 +128,8 @@
   elsewhere. So is the lease of an endpoint whose runs all belong to jobs that
   are not known here yet, since their coordinator may be dead.
   """
-  wanted = any(run.need is not None for run in record.runs.values())
-  if not wanted or record.silent_since is not None:
+  has_known_job = any(run.need is not None for run in record.runs.values())
+  if not has_known_job or record.silent_since is not None:
     return None
   return record.extend_lease(owner.now)
 
@@ -158,8 +161,10 @@
   for running in event.running:
     _update_listed_run(owner, record, running)
   for run in list(record.runs.values()):
-    shown = run.listed_from_call and event.number >= run.listed_from_call
-    if shown and run.id not in listed:
+    must_be_listed = (
+        run.listed_from_call and event.number >= run.listed_from_call
+    )
+    if must_be_listed and run.id not in listed:
       # It ended, and an earlier holder acknowledged its end.
       outcomes.finish_run(
           owner, record, run, model.RunOutcome.LOST, "not_listed"
@@ -270,7 +275,7 @@
 
 
 def _step_down(owner, record):
-  """Gives up the shard: a host with a higher fence number has taken over."""
+  """Gives up the shard: a host with a higher fencing token has taken over."""
   if not owner.fenced:
     owner.fenced = True
     owner.emit(ownerstate.endpoint_log("fenced", record, fence=owner.fence))
@@ -287,7 +292,7 @@
 
 
 def remove_endpoint(owner, record, crashed: bool):
-  """Removes an endpoint of which nothing runs any more.
+  """Removes an endpoint whose runs can no longer be active.
 
   Args:
     owner: the owner.
--- a/fescueturn/scheduler/link.capnp
+++ b/fescueturn/scheduler/link.capnp
@@ -30,6 +30,7 @@
   jobs @1 :UInt32;
 }
 
+# A holder that is suspected to have failed.
 struct Doubt {
   dataCentre @0 :Text;
   shard @1 :UInt16;
@@ -54,13 +55,17 @@
     }
     ping :group {
       canHold @5 :Bool;
+      # Holders that the sender suspects.
       doubts @29 :List(Doubt);
     }
     offered :group {
       job @6 :Job;
+      # Time since the job reached its coordinator.
       ageS @7 :Float64;
+      # How much longer the caller waits.
       leftS @8 :Float64;
       resumed @9 :Bool;
+      # True to decline the job if one of its tasks would have to wait.
       atOnce @17 :Bool;
     }
     withdrawn @10 :Void;
@@ -71,6 +76,7 @@
       # version differs.
       hasEndpoints @26 :Bool;
       endpoints @27 :List(Text);
+      # Holders that enough hosts suspect.
       agreed @30 :List(Doubt);
     }
     accepted @12 :Void;
@@ -83,14 +89,17 @@
       outcome @14 :Outcome;
       reason @15 :Text;
     }
+    # A query about a kept job, or a request to cancel it.
     asked :group {
       cancel @21 :Bool;
     }
+    # The holder's reply to asked.
     told :group {
       cancel @22 :Bool;
       state @23 :KeptState;
     }
     returned :group {
+      # True if a task of the job may have run.
       ran @28 :Bool;
     }
   }
--- a/fescueturn/scheduler/link.py
+++ b/fescueturn/scheduler/link.py
@@ -1,7 +1,7 @@
 """Connections between coordinators and holders: Cap'n Proto over TCP.
 
 A coordinator opens one connection to each holder's host. Both ends send at any
-time and never block on the peer's reading. A connection on which no response
+time and never wait for the peer to read. A connection on which no response
 arrives within `RECEIVE_TIMEOUT_S` is closed and reopened, since it may be dead.
 """
 
--- a/fescueturn/scheduler/linkcodec.py
+++ b/fescueturn/scheduler/linkcodec.py
@@ -1,7 +1,7 @@
 """Cap'n Proto codec for the messages between coordinators and holders.
 
-The schema, `link.capnp`, is loaded at import. A message contains only the job's
-id; its coordinator is the process that opened the connection.
+The schema, `link.capnp`, is loaded at import. A message identifies its job only
+by id; the job's coordinator is the process that opened the connection.
 """
 
 import dataclasses
--- a/fescueturn/scheduler/linkmessages.py
+++ b/fescueturn/scheduler/linkmessages.py
@@ -71,7 +71,7 @@
 
   Attributes:
     shard: the holder's shard.
-    fence: the fence number of the holder's claim.
+    fence: the fencing token of the holder's claim.
   """
 
   shard: model.Shard
--- a/fescueturn/scheduler/model.py
+++ b/fescueturn/scheduler/model.py
@@ -213,7 +213,7 @@
   """Result of a call to an endpoint."""
 
   OK = "ok"
-  # The endpoint has seen a higher fence number, so another host owns it.
+  # The endpoint has seen a higher fencing token, so another host owns it.
   FENCED = "fenced"
   # The endpoint has seen a run of the task with this or a higher attempt.
   OLD_ATTEMPT = "old_attempt"
@@ -294,7 +294,8 @@
     slo_ms: see `Job.slo_ms`.
     timeout_ms: the configured timeout of its jobs.
     priority: the configured priority.
-    needs_advice: True if the queue is under a policy; its jobs are refused.
+    needs_advice: True if the queue is under a policy, which is not supported;
+      its jobs are refused.
   """
 
   name: str
--- a/fescueturn/scheduler/outcomes.py
+++ b/fescueturn/scheduler/outcomes.py
@@ -20,7 +20,7 @@
 
 
 def finish_run(
-    owner, record, run: endpointstate.Run, how: model.RunOutcome, why: str
+    owner, record, run: endpointstate.Run, how: model.RunOutcome, reason: str
 ):
   """Handles a run that surely ended: frees its resources, updates its task.
 
@@ -29,7 +29,7 @@
     record: the endpoint that had the run.
     run: the run.
     how: how it ended.
-    why: the reason for the log.
+    reason: the reason, for the log.
   """
   record.remove(run.id)
   if how is model.RunOutcome.DONE:
@@ -56,7 +56,7 @@
     return
   if how is not model.RunOutcome.DONE:
     owner.emit(
-        ownerstate.run_log("run_ended", record, run, how=how.value, why=why)
+        ownerstate.run_log("run_ended", record, run, how=how.value, why=reason)
     )
   if how is model.RunOutcome.FAILED:
     task.failed.add(run.id.attempt)
@@ -117,13 +117,13 @@
   kept_records = owner.kept_records
   job = owner.by_id.get(ended.run.task.job_id)
   if job is not None and job.job.kept:
-    waiting = kept_records.unsaved_results
+    ends_by_job = kept_records.unsaved_results
   elif not kept_records.loaded:
-    waiting = kept_records.early_results
+    ends_by_job = kept_records.early_results
   else:
     return
   record.unsaved_ends.add(ended.number)
-  ends = waiting.setdefault(ended.run.task.job_id, set())
+  ends = ends_by_job.setdefault(ended.run.task.job_id, set())
   ends.add((record.info.id, ended.number))
 
 
@@ -179,7 +179,7 @@
 
 
 def hand_back_if_idle(owner, job: ownerstate.JobRecord):
-  """Returns a job that is handed back to its coordinator, if none of it runs."""
+  """Returns a job that `hand_back` marked, once none of its tasks runs."""
   if not job.returning or job.active or job.key not in owner.jobs:
     return
   if job.job.kept:
@@ -227,9 +227,9 @@
       for t in active
       if t.endpoint in owner.endpoints
   ]
-  found = [(run.started_at, run, t) for run, t in runs if run is not None]
-  if found:
-    since, run, task = min(found, key=lambda entry: entry[0])
+  active_runs = [(run.started_at, run, t) for run, t in runs if run is not None]
+  if active_runs:
+    since, run, task = min(active_runs, key=lambda entry: entry[0])
     fields |= {
         "longest_at": task.endpoint,
         "longest_task": task.task.index,
@@ -241,7 +241,7 @@
 
 
 def end_job(
-    owner, job: ownerstate.JobRecord, outcome: model.Outcome | None, why: str
+    owner, job: ownerstate.JobRecord, outcome: model.Outcome | None, reason: str
 ):
   """Ends a job: stops its runs and reports its outcome.
 
@@ -252,9 +252,9 @@
     owner: the owner.
     job: the job.
     outcome: how it ended; None if it is handed back to its coordinator.
-    why: the reason, for the log and the coordinator.
+    reason: the reason, for the log and the coordinator.
   """
-  missing = (
+  unfinished_fields = (
       _unfinished_fields(owner, job)
       if outcome is not model.Outcome.DONE
       else {}
@@ -265,22 +265,22 @@
   for task in job.tasks.values():
     if task.run is not None:
       runcontrol.stop_task(owner, task)
-  owner.counters[f"job_{why}"] += 1
+  owner.counters[f"job_{reason}"] += 1
   if outcome is not model.Outcome.DONE:
     owner.emit(
         events.log(
             "job_over",
             job=job.job.id,
             coordinator=job.key.process.host,
-            why=why,
+            why=reason,
             begun=job.begun,
             age_ms=int((owner.now - job.arrived) * 1000),
-            **missing,
+            **unfinished_fields,
         )
     )
   if job.job.kept:
     owner.kept_records.unsaved_states[job.job.id] = _KEPT_STATES[outcome]
   elif outcome is not None:
     owner.send_to_coordinator(
-        job.key.process, linkmessages.JobEnded(job.key, outcome, why)
+        job.key.process, linkmessages.JobEnded(job.key, outcome, reason)
     )
--- a/fescueturn/scheduler/reducer.py
+++ b/fescueturn/scheduler/reducer.py
@@ -94,16 +94,16 @@
 
 def _on_endpoints_listed(state, event: events.EndpointsListed):
   for owner in state.owners.values():
-    listed_first = owner.listed_at is None
+    is_first_list = owner.listed_at is None
     leases.handle_endpoint_list(owner, event.endpoints)
-    if listed_first:
+    if is_first_list:
       offers.recheck_admissions(owner)
 
 
 def _on_offered(state, event: linkmessages.Offered) -> list:
   owner = state.owners.get(event.shard)
   if owner is None:
-    # The decline goes first because only it names the offer that was not taken.
+    # The decline goes first because only it names the offer that was declined.
     process = event.key.process
     decline = linkmessages.Declined(event.key, event.number, 0)
     return [
@@ -147,8 +147,8 @@
   """Returns the response to a ping."""
   update = roster.NO_UPDATE
   if ping.roster is not None and owner.recovered:
-    # Until then, runs of the previous holder may be active on endpoints that
-    # the roster does not contain.
+    # Before the owner has recovered, runs of the previous holder may be active
+    # on endpoints that the roster does not contain.
     update = owner.roster.update_for(ping.roster, owner.endpoints, owner.now)
   return linkmessages.Pong(
       pending=tuple(sorted(keptjobs.pending(owner).items())),
@@ -214,7 +214,7 @@
 
 
 def _ignore_own_pause(state):
-  """Does not count a pause of this process as silence of other hosts."""
+  """Keeps a pause of this process from looking like silence of other hosts."""
   last, state.last_tick_at = state.last_tick_at, state.now
   if last is None or state.now - last < PAUSE_MIN_S:
     return
--- a/fescueturn/scheduler/roster.py
+++ b/fescueturn/scheduler/roster.py
@@ -20,12 +20,12 @@
 # and the next claim takes up to 0.2 s.
 MAX_AGE_S = 2.0
 # An endpoint that joins gets its first task this long after it entered the
-# roster. By then every roster without it is too old to be used, with half a
-# second to spare for the fencing of a replaced holder to stop its requests.
+# roster. By then every roster without it is too old to be used. The extra half
+# second leaves time until fencing stops the requests of a replaced holder.
 JOIN_DELAY_S = 2.5
 # An endpoint stays in the roster for this long after its removal. Entries that
 # expire while the store is unavailable return within seconds, and so need not
-# wait again.
+# wait for `JOIN_DELAY_S` again.
 REMOVED_RETENTION_S = 10.0
 
 
@@ -91,8 +91,9 @@
   """Returns the endpoints where runs of the previous holder may be active.
 
   Args:
-    before: what this host knows of the last holder that it has seen.
-    follows: the fence number of the holder just before; 0 if that isn't known.
+    before: this host's record of the last holder that it has seen.
+    follows: the fencing token of the immediately preceding holder; 0 if that
+      isn't known.
     now: the time (s).
 
   Returns:
--- a/fescueturn/scheduler/runcontrol.py
+++ b/fescueturn/scheduler/runcontrol.py
@@ -11,8 +11,8 @@
 # How many times a start request is sent to the same endpoint before its run is
 # stopped. With 30% of the requests lost, three are lost one time in forty.
 # Stopping the run after the first loss and starting it elsewhere takes three
-# calls that must all be answered: 61% of an emulated load were served in time
-# with that, 76% with this.
+# calls that must all be answered. That served 61% of an emulated load in time;
+# sending up to three times served 76%.
 MAX_SENDS = 3
 
 
@@ -103,8 +103,8 @@
 
 def _count_step_runs(record, task: ownerstate.TaskRecord) -> int:
   """Returns how many runs of the task's step the endpoint has."""
-  of_step = (task.task.job_id, task.task.step)
-  return sum((r.task.job_id, r.task.step) == of_step for r in record.runs)
+  step_key = (task.task.job_id, task.task.step)
+  return sum((r.task.job_id, r.task.step) == step_key for r in record.runs)
 
 
 def _start_task(
@@ -172,7 +172,7 @@
 
 
 def stop_run(owner, record, run: endpointstate.Run):
-  """Asks an endpoint to stop a run; its resources are freed once it has ended."""
+  """Asks an endpoint to stop a run; the run's end frees its resources."""
   if run.state is not endpointstate.RunState.UNSURE:
     run.state = endpointstate.RunState.STOPPING
   run.listed_from_call = 0
--- a/fescueturn/scheduler/stragglers.py
+++ b/fescueturn/scheduler/stragglers.py
@@ -1,12 +1,12 @@
 """Detects slow endpoints by the progress of their runs, and moves stragglers.
 
 Each lease call reports how much of a run is done, from which its end is
-predicted. This guards against an endpoint that turns slow for a while, such as
-one in six being eight times as slow for 6 s. Such an endpoint is detected
+predicted. This guards against endpoints that are slow for a while, for example
+one in six that is eight times as slow for 6 s. Such an endpoint is detected
 within 0.3 s by the progress of its runs, but only after seconds by their ends;
 a run of 0.9 s that is restarted elsewhere after 0.3 s still ends in time. In an
 emulated load with a sixth of the endpoints 5 or 8 times as slow for half of the
-time, it raised the share of jobs in time from 0.948 to 0.966 (long tasks) and
+time, this raised the share of jobs in time from 0.948 to 0.966 (long tasks) and
 from 0.883 to 0.898 (short tasks).
 """
 
--- a/fescueturn/scheduler/timeouts.py
+++ b/fescueturn/scheduler/timeouts.py
@@ -57,7 +57,7 @@
 
 
 # The share of lost calls above which lease calls use shorter long polls. A
-# single lost call counts as that much during the next thirty calls.
+# single lost call keeps the moving average above it for some thirty calls.
 LOSSY_SHARE = 0.01
 _LOSS_WEIGHT = 1 / 64
 
--- a/tests/test_endpointstate.py
+++ b/tests/test_endpointstate.py
@@ -56,7 +56,7 @@
             strategies.just("start"), strategies.integers(1, 60_000)
         ),
         strategies.tuples(strategies.just("found"), strategies.just(0)),
-        strategies.tuples(strategies.just("over"), strategies.integers(0, 9)),
+        strategies.tuples(strategies.just("ended"), strategies.integers(0, 9)),
         strategies.tuples(strategies.just("stop"), strategies.integers(0, 9)),
         strategies.tuples(strategies.just("unsure"), strategies.integers(0, 9)),
     ),
@@ -81,11 +81,11 @@
         assert sum(cpu_by_run.values()) <= record.info.capacity.cpu
         assert len(record.runs) <= SLOTS
     elif action == "found":
-      found = run(number, None)
-      record.add(found)
+      found_run = run(number, None)
+      record.add(found_run)
       assert not record.fits(NEED)
-      record.remove(found.id)
-    elif runs and action == "over":
+      record.remove(found_run.id)
+    elif runs and action == "ended":
       ended = runs[amount % len(runs)].id
       record.remove(ended)
       cpu_by_run.pop(ended)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -22,8 +22,8 @@
     model.Resources(64000, 131072, 0),
 )
 
-PARTY = linkmessages.HostProcess("host-1", "boot-1")
-JOB_KEY = linkmessages.JobKey(PARTY, "j")
+PROCESS = linkmessages.HostProcess("host-1", "boot-1")
+JOB_KEY = linkmessages.JobKey(PROCESS, "j")
 JOB = model.Job(
     "j",
     "speller",
@@ -45,7 +45,7 @@
 ) -> list[float]:
   """Returns the times of lease calls to an endpoint that answers `result`."""
   owner = ownerstate.Owner(SHARD, 7, 0.0)
-  called, step = [], 0.02
+  call_times, step = [], 0.02
   for number in range(int(seconds / step)):
     owner.now = number * step
     if number % 35 == 0:
@@ -53,12 +53,12 @@
     owner_lib.tick(owner)
     for effect in owner.take_effects():
       if isinstance(effect, events.RenewLease):
-        called.append(owner.now)
+        call_times.append(owner.now)
         leases.handle_lease_answer(
             owner,
             events.LeaseAnswered(endpoint.id, effect.number, result, None),
         )
-  return called
+  return call_times
 
 
 def test_dead_incarnation_is_called_once_while_it_stays_listed():
@@ -66,9 +66,11 @@
 
 
 def test_endpoint_that_never_answered_is_called_once_a_second():
-  called = lease_call_times(10.0, model.CallResult.NOT_SENT)
-  assert len(called) <= 14
-  assert max(b - a for a, b in zip(called, called[1:], strict=False)) < 1.1
+  call_times = lease_call_times(10.0, model.CallResult.NOT_SENT)
+  assert len(call_times) <= 14
+  assert (
+      max(b - a for a, b in zip(call_times, call_times[1:], strict=False)) < 1.1
+  )
 
 
 def start_job(owner, record):
@@ -101,9 +103,9 @@
 
 def lose_start_request(owner, run, now):
   owner.now = now
-  lost = model.CallResult.NO_ANSWER
+  no_answer = model.CallResult.NO_ANSWER
   leases.handle_start_answer(
-      owner, events.StartAnswered(ENDPOINT.id, run.id, lost, None)
+      owner, events.StartAnswered(ENDPOINT.id, run.id, no_answer, None)
   )
   return owner.take_effects()
 
@@ -113,8 +115,8 @@
   record = known_endpoint(owner)
   run = start_job(owner, record)
   effects = lose_start_request(owner, run, 0.025)
-  again = [e for e in effects if isinstance(e, events.StartRun)]
-  assert [e.run for e in again] == [run.id]
+  resent = [e for e in effects if isinstance(e, events.StartRun)]
+  assert [e.run for e in resent] == [run.id]
   lease_calls = [e for e in effects if isinstance(e, events.RenewLease)]
   assert [e.wait_ms for e in lease_calls] == [0]
   assert not record.usable(0.025), "gets no new tasks before it answers"
@@ -142,9 +144,9 @@
   record = known_endpoint(owner)
   run = start_job(owner, record)
   lose_start_request(owner, run, 0.025)
-  old = model.CallResult.OLD_ATTEMPT
+  old_attempt = model.CallResult.OLD_ATTEMPT
   leases.handle_start_answer(
-      owner, events.StartAnswered(ENDPOINT.id, run.id, old, 1050)
+      owner, events.StartAnswered(ENDPOINT.id, run.id, old_attempt, 1050)
   )
   answer(owner, record, 0.03)
   owner.take_effects()
@@ -169,9 +171,9 @@
   record = known_endpoint(owner)
   run = start_job(owner, record)
   lose_start_request(owner, run, 0.025)
-  lost = model.CallResult.NO_ANSWER
-  answer(owner, record, 0.05, lost)
-  answer(owner, record, 0.075, lost)
+  no_answer = model.CallResult.NO_ANSWER
+  answer(owner, record, 0.05, no_answer)
+  answer(owner, record, 0.075, no_answer)
   assert record.silent_since is None
-  answer(owner, record, 0.1, lost)
+  answer(owner, record, 0.1, no_answer)
   assert record.silent_since is not None
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -25,13 +25,14 @@
 class Faults:
   """Generates faults from a seed and injects them into a fleet.
 
-  The seeds draw from the `fault_` methods in the order of their names.
+  A seed picks from the `fault_` methods in the order of their names, so a new
+  name changes the faults of every seed.
   """
 
-  def __init__(self, emulated_fleet, seed: int):
-    self._fleet = emulated_fleet
+  def __init__(self, emulation, seed: int):
+    self._fleet = emulation
     self._rng = random.Random(seed)
-    self._names = list(emulated_fleet.endpoints)
+    self._names = list(emulation.endpoints)
     self._faults = [
         getattr(self, name) for name in dir(self) if name.startswith("fault_")
     ]
@@ -82,7 +83,7 @@
     self._after_random_delay(lambda: host.partitioned_from.discard("store"))
 
   def fault_claim_expires(self):
-    self._fleet.delete_claim(model.Shard(self._rng.choice(fleets.ZONES)))
+    self._fleet.delete_claim(model.Shard(self._rng.choice(fleets.DATA_CENTRES)))
 
   def fault_entries_expire(self):
     expired = self._random_subset(self._names)
@@ -92,7 +93,7 @@
     )
 
   def fault_endpoint_joins(self):
-    zone = self._rng.choice(fleets.ZONES)
+    zone = self._rng.choice(fleets.DATA_CENTRES)
     self._fleet.add_endpoint(f"new-{self._rng.random()}", zone)
 
   def fault_endpoint_goes_silent(self):
@@ -112,19 +113,19 @@
     self._after_random_delay(restore)
 
   def fault_task_crashes_its_endpoints(self):
-    emulated_fleet = self._fleet
-    host = self._rng.choice([h for h in emulated_fleet.hosts.values() if h.up])
+    emulation = self._fleet
+    host = self._rng.choice([h for h in emulation.hosts.values() if h.up])
     name = f"crash{self._rng.random()}"
-    wanted = test_kept_jobs.job(name, 2, 200)
+    crashing_job = test_kept_jobs.job(name, 2, 200)
     crash_after_s = self._rng.choice((0.001, 0.1))
-    emulated_fleet.submit(host.name, wanted, [0.2] * 2, 5.0, crash_after_s)
+    emulation.submit(host.name, crashing_job, [0.2] * 2, 5.0, crash_after_s)
 
   def fault_capacity_changes(self):
     endpoint = self._fleet.endpoints[self._rng.choice(self._names)]
-    before = endpoint.info.capacity
+    old_capacity = endpoint.info.capacity
     cpu = self._rng.choice((0, 27000, 40000, 150000))
-    endpoint.resize(model.Resources(cpu, before.mem_mb, before.gpu))
-    self._after_random_delay(lambda: endpoint.resize(before))
+    endpoint.resize(model.Resources(cpu, old_capacity.mem_mb, old_capacity.gpu))
+    self._after_random_delay(lambda: endpoint.resize(old_capacity))
 
   def fault_planned_shutdown(self):
     host = self._random_host()
@@ -134,16 +135,14 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_invariants_hold_and_most_jobs_complete(seed):
-  emulated_fleet = fleets.fleet(seed=seed)
+  emulation = fleets.fleet(seed=seed)
   requests = fleets.submit_load(
-      emulated_fleet, list(emulated_fleet.hosts.values()), LOAD_S, LOAD_PER_S
+      emulation, list(emulation.hosts.values()), LOAD_S, LOAD_PER_S
   )
-  Faults(emulated_fleet, seed).plan()
-  emulated_fleet.clock.run_until(END_S)
-  assert emulated_fleet.broken == []
-  answered = [
-      emulated_fleet.answers[r] for r in requests if r in emulated_fleet.answers
-  ]
+  Faults(emulation, seed).plan()
+  emulation.clock.run_until(END_S)
+  assert emulation.broken == []
+  answered = [emulation.answers[r] for r in requests if r in emulation.answers]
   done = sum(a.answer.outcome is model.Outcome.DONE for a in answered)
   assert done > 0.6 * len(requests)
 
@@ -154,15 +153,15 @@
   With the lease's end rounded down, the expiry check ran while the lease was
   still valid, and the lease never ended.
   """
-  emulated_fleet = fleets.fleet()
-  endpoint = emulated_fleet.add_endpoint("e", "a")
+  emulation = fleets.fleet()
+  endpoint = emulation.add_endpoint("e", "a")
   for number in range(300):
     task = model.Task(f"j{number}", 0, 0)
-    emulated_fleet.task_profiles[task] = (
-        fleets.fleet_lib.endpoint_lib.TaskProfile(fleets.NEED, 60.0, False)
+    emulation.task_profiles[task] = fleets.fleet_lib.endpoint_lib.TaskProfile(
+        fleets.NEED, 60.0, False
     )
     run = model.RunId(task, 1)
     deadline_ms = endpoint.clock_ms + 7 + number % 3
     endpoint.start(events.StartRun(endpoint.info, run, "", deadline_ms, 9999))
-    emulated_fleet.clock.run_until(emulated_fleet.clock.now + 0.013)
+    emulation.clock.run_until(emulation.clock.now + 0.013)
     assert not endpoint.running
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -73,12 +73,14 @@
   return owner.roster.update_for(known, owner.endpoints, owner.now)
 
 
-def ping(made, owner, known: int = 0) -> linkmessages.Pong:
-  """Returns the answer of a holder in an emulated fleet to a ping."""
-  shard = model.Shard(owner.data_centre)
-  asker = fleets.other_host(made, owner).process
+def ping(emulation, holder, known: int = 0) -> linkmessages.Pong:
+  """Returns the answer of the holding host to another host's ping."""
+  shard = model.Shard(holder.data_centre)
+  coordinator = fleets.other_host(emulation, holder).process
   effects = reducer.reduce(
-      owner.state, linkmessages.Ping(shard, asker, 3.5, known), made.clock.now
+      holder.state,
+      linkmessages.Ping(shard, coordinator, 3.5, known),
+      emulation.clock.now,
   )
   (pong,) = [
       e.message for e in effects if isinstance(e, events.SendToCoordinator)
@@ -87,15 +89,15 @@
 
 
 def test_holder_sends_no_roster_before_it_has_recovered():
-  made = fleets.fleet()
-  owner = fleets.owner_of(made, "a")
-  assert ping(made, owner).roster == 0
-  made.clock.run_until(4.0)
-  pong = ping(made, owner)
+  emulation = fleets.fleet()
+  holder = fleets.owner_of(emulation, "a")
+  assert ping(emulation, holder).roster == 0
+  emulation.clock.run_until(4.0)
+  pong = ping(emulation, holder)
   assert pong.at == 3.5
   assert pong.roster == 1
   assert pong.endpoints == tuple(f"e-a{number}" for number in range(8))
-  assert ping(made, owner, known=1).endpoints is None
+  assert ping(emulation, holder, known=1).endpoints is None
 
 
 def test_holder_without_a_list_of_endpoints_sends_no_roster():
@@ -125,8 +127,8 @@
 
 def test_drained_endpoint_is_not_in_the_roster():
   owner = owner_with_roster()
-  leaving = dataclasses.replace(test_leases.ENDPOINT, draining=True)
-  leases.handle_endpoint_list(owner, (leaving,))
+  draining_endpoint = dataclasses.replace(test_leases.ENDPOINT, draining=True)
+  leases.handle_endpoint_list(owner, (draining_endpoint,))
   assert "i-1" in roster_update(owner).endpoints
   owner.endpoints["i-1"].call_pending = False
   leases.handle_endpoint_list(owner, ())
@@ -153,16 +155,16 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_of_a_killed_holder_restart_at_once(seed):
   """Guards against tasks waiting 1.5 s for the leases of the killed holder."""
-  made = fleets.fleet(seed=seed)
-  made.clock.run_until(4.0)  # The first holders have recovered.
-  owner = fleets.owner_of(made, "a")
-  others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
-  requests = fleets.submit_load(made, others, 4, 40)
-  made.clock.at(6.0, lambda: made.kill(owner.name))
-  made.clock.run_until(12)
-  assert made.broken == []
-  slow = [r for r in requests if made.answers[r].took_s > 1.6]
-  done = fleets.count_outcomes(made, requests)[model.Outcome.DONE]
+  emulation = fleets.fleet(seed=seed)
+  emulation.clock.run_until(4.0)  # The first holders have recovered.
+  holder = fleets.owner_of(emulation, "a")
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not holder]
+  requests = fleets.submit_load(emulation, others, 4, 40)
+  emulation.clock.at(6.0, lambda: emulation.kill(holder.name))
+  emulation.clock.run_until(12)
+  assert emulation.broken == []
+  slow = [r for r in requests if emulation.answers[r].took_s > 1.6]
+  done = fleets.count_outcomes(emulation, requests)[model.Outcome.DONE]
   assert done > 0.95 * len(requests)
-  # A task of 0.9 s may be 1.4 times as long, and run twice.
+  # A task of 0.9 s may take 1.4 times as long, and may run twice.
   assert len(slow) <= 1
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -60,15 +60,15 @@
 RECORDED_MESSAGES = pathlib.Path(__file__).with_name("recorded_messages.txt")
 
 
-def recorded(section: str) -> list[bytes]:
+def read_recorded(section: str) -> list[bytes]:
   lines = RECORDED_MESSAGES.read_text().splitlines()
   begin = lines.index(f"[{section}]") + 1
-  found = []
+  messages = []
   for line in lines[begin:]:
     if line.startswith("["):
       break
-    found.append(base64.b64decode(line))
-  return found
+    messages.append(base64.b64decode(line))
+  return messages
 
 
 def test_kept_jobs_of_the_previous_build_are_readable():
@@ -89,9 +89,9 @@
   job = test_platform_jobstore.job("k")
   holder.write(keptevents.StoreJob(job))
   holder.write(keptevents.StoreProgress("k", PROGRESS))
-  found = {item.key: item.value for item in memory.store.range("")}
-  del found[CLAIM_KEY]
-  assert found == {
+  stored = {item.key: item.value for item in memory.store.range("")}
+  del stored[CLAIM_KEY]
+  assert stored == {
       **{k: v for k, v in STORED.items() if k != "fescueturn/jobs/over"},
       "fescueturn/heads/north/0": b"[1,2,0]",
   }
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize(
     ("message", "data"),
-    zip(test_linkcodec.MESSAGES, recorded("link"), strict=True),
+    zip(test_linkcodec.MESSAGES, read_recorded("link"), strict=True),
 )
 def test_link_messages_match_the_previous_build(message, data):
   assert linkcodec.encode(test_linkcodec.SHARD, message) == data
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize(
     ("request_", "data"),
-    zip(test_peer.REQUESTS, recorded("requests"), strict=True),
+    zip(test_peer.REQUESTS, read_recorded("requests"), strict=True),
 )
 def test_peer_requests_match_the_previous_build(request_, data):
   assert peercodec.encode_request(9, request_) == data
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize(
     ("reply", "data"),
-    zip(test_peer.REPLIES, recorded("replies"), strict=True),
+    zip(test_peer.REPLIES, read_recorded("replies"), strict=True),
 )
 def test_peer_replies_match_the_previous_build(reply, data):
   assert peercodec.encode_reply(4, "boot-2", reply) == data
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -22,7 +22,7 @@
   run.percent = 4
   assert round(run.observed_slowdown(0.3), 1) == 8.3
   run.percent = 20
-  assert not run.observed_slowdown(0.3), "1.7 is below SLOW_RATIO"
+  assert not run.observed_slowdown(0.3), "a slowdown of 1.7 is below SLOW_RATIO"
 
 
 def test_endpoint_counts_as_slow_after_slow_runs_of_two_jobs():
@@ -37,42 +37,44 @@
 
 
 def test_run_on_a_slow_endpoint_is_restarted_elsewhere():
-  made = fleets.fleet()
-  slow = made.endpoints["e-a0"]
+  emulation = fleets.fleet()
+  slow = emulation.endpoints["e-a0"]
   slow.slowdown = 8.0
   requests = [
-      made.submit("a0", fleets.job(f"j{n}", 4, 900), [0.9] * 4, 5.0)
+      emulation.submit("a0", fleets.job(f"j{n}", 4, 900), [0.9] * 4, 5.0)
       for n in range(3)
   ]
-  made.clock.run_until(4.0)
+  emulation.clock.run_until(4.0)
   assert slow.starts
   for request in requests:
-    assert made.answers[request].answer.outcome is model.Outcome.DONE
-    assert made.answers[request].took_s < 1.5, "limit: 1.6 x 0.9 s and 60 ms"
-  assert made.broken == []
+    assert emulation.answers[request].answer.outcome is model.Outcome.DONE
+    assert (
+        emulation.answers[request].took_s < 1.5
+    ), "limit: 1.6 x 0.9 s and 60 ms"
+  assert emulation.broken == []
 
 
 def test_run_is_moved_at_most_once():
   """A job whose tasks are slow on every endpoint must not be moved repeatedly."""
-  made = fleets.fleet()
-  request = made.submit("a0", fleets.job("j", 2, 200), [2.0] * 2, 5.0)
-  made.clock.run_until(6.0)
-  assert made.answers[request].answer.outcome is model.Outcome.DONE
-  starts = sum(len(e.starts) for e in made.endpoints.values())
+  emulation = fleets.fleet()
+  request = emulation.submit("a0", fleets.job("j", 2, 200), [2.0] * 2, 5.0)
+  emulation.clock.run_until(6.0)
+  assert emulation.answers[request].answer.outcome is model.Outcome.DONE
+  starts = sum(len(e.starts) for e in emulation.endpoints.values())
   assert starts <= 4
-  assert made.broken == []
+  assert emulation.broken == []
 
 
 def test_log_line_of_an_expired_job_names_its_unfinished_tasks():
-  made = fleets.fleet()
-  made.submit("a0", fleets.job("j", 2, 900), [0.9, 9.0], 2.0)
-  made.clock.run_until(4.0)
+  emulation = fleets.fleet()
+  emulation.submit("a0", fleets.job("j", 2, 900), [0.9, 9.0], 2.0)
+  emulation.clock.run_until(4.0)
   (line,) = [
       dict(line.fields)
-      for host in made.hosts.values()
+      for host in emulation.hosts.values()
       for line in host.log
       if line.event == "job_over"
   ]
   assert (line["at_work"], line["waiting"]) == (1, 0)
-  assert line["longest_at"] in made.endpoints
+  assert line["longest_at"] in emulation.endpoints
   assert 0 < line["longest_percent"] < 50
