--- a/fescueturn/scheduler/endpointstate.py
+++ b/fescueturn/scheduler/endpointstate.py
@@ -9,10 +9,10 @@
 
 from fescueturn.scheduler import model
 
-# The platform allows leases of up to 1,000 ms. A run may outlive its coordinator
-# by the time in which the holder detects the failure (400 ms) and one lease, and
-# must have ended when the caller retries after 1,300 ms. Leases are renewed
-# every 300 ms, so that one renewal may be lost.
+# The platform allows leases of up to 1,000 ms. A run may outlive its
+# coordinator by the time in which the holder detects the failure (400 ms) and
+# one lease, and must have ended when the caller retries after 1,300 ms. Leases
+# are renewed every 300 ms, so that one renewal may be lost.
 LEASE_MS = 800
 # A lease counts as expired this long after its end on the estimated clock of
 # the endpoint, which never runs ahead of the real one. The margin covers the 2%
@@ -45,8 +45,8 @@
 # for 0.25 s.
 FIRST_CALL_MAX_BACKOFF_S = 1.0
 # The minimum interval of lease calls to an endpoint with ended runs that are
-# not in the store yet; a write takes some 25 ms. The endpoint answers such calls
-# at once, without a long poll, since it lists these runs each time.
+# not in the store yet; a write takes some 25 ms. The endpoint answers such
+# calls at once, without a long poll, since it lists these runs each time.
 UNSAVED_CALL_INTERVAL_S = 0.15
 # An unlisted endpoint that has been silent for this long is forgotten with all
 # its runs. A lost start request is carried out at most 12 s late.
--- a/fescueturn/scheduler/leases.py
+++ b/fescueturn/scheduler/leases.py
@@ -35,11 +35,13 @@
   """Applies the platform's list; asks new endpoints which runs they have."""
   owner.listed_at = owner.now
   owner.set_endpoint_sizes(listed)
-  own = {e.id: e for e in listed if e.data_centre == owner.shard.data_centre}
-  owner.dead_incarnations &= {(e.id, e.address) for e in own.values()}
-  for job in crashes.confirm_replaced_endpoints(owner, own.values()):
+  own_endpoints = {
+      e.id: e for e in listed if e.data_centre == owner.shard.data_centre
+  }
+  owner.dead_incarnations &= {(e.id, e.address) for e in own_endpoints.values()}
+  for job in crashes.confirm_replaced_endpoints(owner, own_endpoints.values()):
     outcomes.end_job_if_finished(owner, job)
-  for name, info in own.items():
+  for name, info in own_endpoints.items():
     record = owner.endpoints.get(name)
     if record is None and (name, info.address) in owner.dead_incarnations:
       continue
@@ -57,7 +59,7 @@
       )
     record.update(info)
   for name, record in list(owner.endpoints.items()):
-    if name not in own and record.listed:
+    if name not in own_endpoints and record.listed:
       record.listed = False
       owner.emit(ownerstate.endpoint_log("endpoint_unlisted", record))
     if not record.listed and not record.runs and not record.call_pending:
--- a/fescueturn/scheduler/roster.py
+++ b/fescueturn/scheduler/roster.py
@@ -86,12 +86,12 @@
 
 
 def inherited_endpoints(
-    before: coordinatorstate.HolderRecord | None, follows: int, now: float
+    last_seen: coordinatorstate.HolderRecord | None, follows: int, now: float
 ) -> frozenset[str] | None:
   """Returns the endpoints where runs of the previous holder may be active.
 
   Args:
-    before: this host's record of the last holder that it has seen.
+    last_seen: this host's record of the last holder that it has seen.
     follows: the fencing token of the immediately preceding holder; 0 if that
       isn't known.
     now: the time (s).
@@ -100,8 +100,11 @@
     The previous holder's roster; None if it is unknown, too old or another
     holder's.
   """
-  if before is None or not follows or before.holder.fence != follows:
+  if last_seen is None or not follows or last_seen.holder.fence != follows:
     return None
-  if not before.roster_version or now - before.roster_valid_at > MAX_AGE_S:
+  if (
+      not last_seen.roster_version
+      or now - last_seen.roster_valid_at > MAX_AGE_S
+  ):
     return None
-  return before.roster
+  return last_seen.roster
--- a/fescueturn/scheduler/runcontrol.py
+++ b/fescueturn/scheduler/runcontrol.py
@@ -50,7 +50,7 @@
   rack, the fastest endpoint and the one with the most free CPU, in this order.
   """
   step = task.step
-  lost = bool(task.lost_endpoints or task.crashed)
+  has_losses = bool(task.lost_endpoints or task.crashed)
   best, best_rank = None, None
   for record in usable:
     if record.info.service != job.job.service or not record.fits(step.need):
@@ -66,7 +66,7 @@
     # A task that may crash its endpoint is placed where it puts the fewest
     # other runs at risk.
     risk = ()
-    if lost:
+    if has_losses:
       risk = (crashes.crashed_recently(owner, record), len(record.runs))
     rank = (
         moved_away,
--- a/fescueturn/scheduler/state.py
+++ b/fescueturn/scheduler/state.py
@@ -57,11 +57,13 @@
   @property
   def needs_fast_ticks(self) -> bool:
     """True while a timeout shorter than the ping period is pending."""
-    free = any(c.free_since is not None for c in self.candidates.values())
+    shard_is_free = any(
+        c.free_since is not None for c in self.candidates.values()
+    )
     return bool(
         self.owners
         or self.draining
-        or free
+        or shard_is_free
         or self.coordinator.has_timeout_soon
     )
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -54,9 +54,9 @@
   emulation = fleets.fleet()
   request = submit_job(emulation, "a0", "bad", crash_s, kept_job=False)
   emulation.clock.run_until(20)
-  answer = emulation.answers[request].answer
-  assert answer.outcome is model.Outcome.FAILED
-  assert answer.reason == crashes_lib.REASON
+  response = emulation.answers[request].answer
+  assert response.outcome is model.Outcome.FAILED
+  assert response.reason == crashes_lib.REASON
   assert count_starts(emulation, "bad") <= 3
   assert emulation.answers[request].took_s < 10
 
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -55,7 +55,7 @@
 
 
 def test_run_is_moved_at_most_once():
-  """A job whose tasks are slow on every endpoint must not be moved repeatedly."""
+  """Tasks that are slow on every endpoint must not be moved repeatedly."""
   emulation = fleets.fleet()
   request = emulation.submit("a0", fleets.job("j", 2, 200), [2.0] * 2, 5.0)
   emulation.clock.run_until(6.0)
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -28,7 +28,7 @@
 
 
 def test_timeout_grows_on_a_busy_host_and_recovers():
-  """Too short a timeout would have a busy host restart runs and add to its load."""
+  """With too short a timeout, a busy host restarts runs and adds to its load."""
   timeout = timeouts.AnswerTimeout()
   for _ in range(5):
     timeout.record_answer(0.04)
