--- a/fescueturn/scheduler/admission.py
+++ b/fescueturn/scheduler/admission.py
@@ -16,21 +16,19 @@
 # Part of its slack that a job may be expected to spend waiting. Estimated run
 # times are up to 40% off in either direction, so a job that is expected to end
 # just in time is late half of the time, and a late answer is better than none.
-# With 0.8, 1.1 and 1.4 a light load was served 0.880, 0.934 and 0.915 of its
-# worth, a heavy one 0.684, 0.672 and 0.667.
+# With fractions of 0.8, 1.1 and 1.4, a light load earned 0.880, 0.934 and 0.915
+# of its total value, a heavy one 0.684, 0.672 and 0.667.
 SLACK_FRACTION = 1.0
 # A task that has run longer than its estimate is expected to end within this
 # fraction of the estimate: most of these end within another third of it.
 OVERDUE_FRACTION = 0.2
-
-
 # A step that needs more than this part of all slots is expected to run in
 # waves, and the caller's objective allows for that.
 WAVE_FRACTION = 0.25
 
 
 def critical_path_s(job: model.Job, slots: int) -> float:
-  """Returns the estimated critical path (s), given `slots` in all."""
+  """Returns the estimated critical path (s) with `slots` slots in total."""
   wave = max(1.0, WAVE_FRACTION * slots)
   ends: list[float] = []
   for step in job.steps:
@@ -103,7 +101,7 @@
 
   Args:
     slots: when slots become free, as `slot_free_times` returns them.
-    ahead: the expected run times (s) of the tasks ahead of them.
+    ahead: the expected run times (s) of the tasks queued before these.
     count: how many tasks are to run.
     run_s: how long each of them is expected to run.
     now: the time.
--- a/fescueturn/scheduler/coordinator.py
+++ b/fescueturn/scheduler/coordinator.py
@@ -27,14 +27,14 @@
 # How long a job whose holder is lost waits for the shard's next holder: the
 # claim in the store expires 1.5 s after its last renewal, and the next holder
 # needs some 50 ms. No other shard may start the job meanwhile, since its runs
-# may continue for 0.4 s of silence and a lease of 0.8 s.
+# may continue for 1.2 s: 0.4 s of silence and then a lease of 0.8 s.
 ORPHAN_TIMEOUT_S = 2.0
 # How long a job that has not started waits for a holder when there is none: a
 # planned stop hands a shard over in some 30 ms, and the shard of a killed
 # holder is taken over within 0.2 s.
 HELD_TIMEOUT_S = 0.3
-# How long before the caller's deadline it gets an answer: a round trip to the
-# client and the tick of a slow host.
+# How long before its caller's deadline an unfinished job is answered: the time
+# of a round trip to the caller and of a tick on a slow host.
 ANSWER_MARGIN_S = 0.03
 
 
@@ -335,14 +335,14 @@
 
 
 def _orphan(state, record: coordinatorstate.JobRecord):
-  """Has a job wait for its shard's next holder, as its holder is lost."""
+  """Makes a job whose holder is lost wait for the shard's next holder."""
   record.may_be_running = True
   record.phase = coordinatorstate.Phase.ORPHANED
   record.orphaned_at = record.orphaned_at or state.now
 
 
 def tick(state: coordinatorstate.Coordinator):
-  """Pings holders and checks the time-outs of holders, queries and jobs."""
+  """Pings holders and checks the timeouts of holders, queries and jobs."""
   _ping(state)
   jobqueries.tick(state)
   _update_unserved_since(state)
@@ -367,7 +367,7 @@
 
 
 def _update_unserved_since(state):
-  """Updates since when no holder can be offered a job."""
+  """Sets `unserved_since` when no holder can be offered a job, or clears it."""
   if any(jobdispatch.usable(state, shard) for shard in state.holders):
     state.unserved_since = None
   elif state.unserved_since is None:
--- a/fescueturn/scheduler/coordinatorstate.py
+++ b/fescueturn/scheduler/coordinatorstate.py
@@ -46,13 +46,13 @@
     process: that holder's process.
     offer_count: how often the job was offered.
     orphaned_at: when its holder was lost (s).
-    declined_by: shards that declined the job for good.
-    wait_ms_by_shard: by shard, the wait after which it would still finish the
-      job in time (ms).
+    declined_by: shards that declined the job outright or handed it back.
+    wait_ms_by_shard: the expected wait (ms) at each shard that declined to
+      start the job at once but can finish it in time.
     may_be_running: True while a task of the job may be running at a holder.
     may_have_run: True once a task may have run, whether or not it still does.
-    reason: why a holder declined the job for good, for the logs.
-    wait_ms: the longest wait that such a holder expected (ms).
+    reason: why a holder declined the job outright, for the logs.
+    wait_ms: the longest wait that such a holder reported (ms).
   """
 
   def __init__(self, request_id, key, job, now, deadline_s, trace_id):
@@ -104,7 +104,7 @@
     lost: True while the holder is presumed lost.
     pending: how many kept jobs wait to start there, by queue, as it last
       reported.
-    roster: every endpoint where something may run by the holder's orders.
+    roster: all endpoints where runs that the holder started may be active.
     roster_version: the version of `roster`; 0 if none was received.
     roster_valid_at: when the ping was sent that last confirmed `roster` (s).
   """
@@ -167,7 +167,7 @@
 
   @property
   def has_timeout_soon(self) -> bool:
-    """True while a time-out is due sooner than the idle tick period allows."""
+    """True while a timeout is due sooner than the idle tick period allows."""
     return bool(self.queries) or any(
         job.phase not in AT_HOLDER or job.deadline - self.now < DEADLINE_NEAR_S
         for job in self.jobs.values()
--- a/fescueturn/scheduler/election.py
+++ b/fescueturn/scheduler/election.py
@@ -66,13 +66,14 @@
     holder_stale: whether `holder` is known not to hold the shard any more.
     claiming_since: when the claim under way was sent (s), if any.
     last_claim_at: when the last claim was answered (s).
-    stepped_down_fence: the fence number with which this host last stepped down.
+    stepped_down_fence: the fencing token with which this host last stepped
+      down.
     holder_changed_at: when the holder last changed (s).
     recent_changes: how many changes of holder preceded that one in a row, each
       within `FLAPPING_WINDOW_S` of the one before.
     yield_until: until when this host leaves the shard to others (s).
     store_read: whether the store's claim was read since this host started.
-    last_fence: the fence number of the last holder known.
+    last_fence: the fencing token of the last holder known.
     no_holder_seen: whether no holder was seen since this host started.
   """
 
@@ -159,7 +160,7 @@
   Args:
     candidate: this host's state in the election.
     now: the current time (s).
-    grace_s: how long the holder keeps the shard nevertheless.
+    grace_s: how long the shard is still left to the holder (s).
   """
   if candidate.holder is not None and not candidate.holder_stale:
     candidate.holder_stale = True
@@ -215,6 +216,6 @@
 
 
 def handle_claim_answer(candidate: Candidate, now: float):
-  """Handles the end of a claim; the watch reports whether it succeeded."""
+  """Handles the answer to a claim; the watch reports whether it succeeded."""
   candidate.claiming_since = None
   candidate.last_claim_at = now
--- a/fescueturn/scheduler/evacuation.py
+++ b/fescueturn/scheduler/evacuation.py
@@ -9,8 +9,9 @@
 from fescueturn.scheduler import events
 from fescueturn.scheduler import model
 
-# How long after the last evacuation ended holders still look for jobs that were
-# moved to them, so that a move which a slow store completes late is found.
+# How long holders still look for jobs that were moved to them after the last
+# evacuation has ended, so that a move which a slow store completes late is
+# found.
 RECENT_S = 10.0
 
 
--- a/fescueturn/scheduler/forecast.py
+++ b/fescueturn/scheduler/forecast.py
@@ -8,12 +8,12 @@
 from fescueturn.scheduler import model
 from fescueturn.scheduler import ownerstate
 
-# Retry delay that a host without a usable endpoint returns.
+# Retry delay that a holder without a usable endpoint returns.
 NO_ENDPOINT_RETRY_S = 1.0
 
 
 def record_demand(owner: ownerstate.Owner, offer: linkmessages.Offered):
-  """Adds a job to the demand, only at the holder that is offered it first."""
+  """Adds a job to the demand if this holder is the first to be offered it."""
   if offer.number > 1 or offer.resumed:
     return
   job = offer.job
@@ -28,7 +28,7 @@
   Attributes:
     wait_s: how much longer it would take than with all slots free.
     late_s: by how much it would be late; 0 if in time.
-    reserved_slots: how many slots it must leave to wider jobs.
+    reserved_slots: how many slots the job must leave to wider jobs.
   """
 
   wait_s: float
@@ -40,11 +40,11 @@
 
 
 def forecast(owner: ownerstate.Owner, offer: linkmessages.Offered) -> Forecast:
-  """Returns a job's forecast, with the running and waiting tasks ahead of it."""
+  """Forecasts an offered job's delay behind the running and waiting tasks."""
   job = offer.job
-  first = [s for s in job.steps if not s.after]
-  widest = max(first, key=lambda s: s.estimate_ms)
-  count = sum(s.count for s in first)
+  first_steps = [s for s in job.steps if not s.after]
+  longest = max(first_steps, key=lambda s: s.estimate_ms)
+  count = sum(s.count for s in first_steps)
   records = [
       r
       for r in owner.endpoints.values()
@@ -54,17 +54,17 @@
           or (owner.awaiting_endpoints and r.may_have_capacity)
       )
   ]
-  free = admission.available_slots(records, widest.need)
+  free = admission.available_slots(records, longest.need)
   taken = sum(len(r.runs) for r in records)
   reserved_slots = _reserved_for_wider(owner, job, free + taken)
-  total = owner.total_slots(job.service, widest.need)
+  total = owner.total_slots(job.service, longest.need)
   critical_path_s = admission.critical_path_s(job, total)
-  run_s = widest.estimate_ms / 1000
+  run_s = longest.estimate_ms / 1000
   ahead = _run_times_ahead(owner, latest_start(owner, offer))
   if free - reserved_slots - len(ahead) >= count:
     finish_s = run_s
   else:
-    slot_times = admission.slot_free_times(records, widest.need, owner.now)[
+    slot_times = admission.slot_free_times(records, longest.need, owner.now)[
         reserved_slots:
     ]
     finish_s = admission.expected_finish_s(
@@ -75,8 +75,8 @@
   unqueued_s = run_s * _waves(count, free + taken - reserved_slots)
   wait_s = finish_s - unqueued_s
   finish_s += max(0.0, critical_path_s - unqueued_s)
-  # It must end within its objective and, unless it is kept, before its caller
-  # stops waiting.
+  # The job must end within its objective and, unless it is kept, before its
+  # caller stops waiting.
   allowed_s = admission.latest_finish_s(job, total) - offer.age_s
   if not job.kept:
     allowed_s = min(allowed_s, offer.remaining_s)
@@ -117,7 +117,7 @@
 
 
 def latest_start(owner: ownerstate.Owner, offer: linkmessages.Offered) -> float:
-  """Returns by when the job's first tasks should start to end in time (s)."""
+  """Returns the latest time (s) to start the first tasks and end in time."""
   need = offer.job.steps[0].need
   total = owner.total_slots(offer.job.service, need)
   slack_s = admission.objective_s(offer.job, total) - admission.critical_path_s(
--- a/fescueturn/scheduler/keptjobs.py
+++ b/fescueturn/scheduler/keptjobs.py
@@ -151,9 +151,9 @@
 
 
 def _job_written(owner, change: keptevents.StoreJob):
-  waiting = owner.kept_records.unsaved_offers.pop(change.job.id, [])
-  first = waiting[0]
-  for offer in waiting:
+  saved_offers = owner.kept_records.unsaved_offers.pop(change.job.id, [])
+  first = saved_offers[0]
+  for offer in saved_offers:
     _send_accepted(owner, offer)
   owner.counters["accepted"] += 1
   _start_job(owner, change.job, model.Progress(), first.resumed, first.age_s)
@@ -232,7 +232,7 @@
 
 
 def _acknowledge_results(owner, results):
-  """Lets the endpoints forget results that are stored or not needed."""
+  """Acknowledges results to their endpoints, which then forget them."""
   for endpoint, number in results:
     record = owner.endpoints.get(endpoint)
     if record is not None and number != keptrecords.ENDPOINT_LOST:
@@ -242,7 +242,7 @@
 
 
 def handle_state_query(owner: ownerstate.Owner, event: keptevents.KeptJobQuery):
-  """Answers a query for a job's state, or to cancel it.
+  """Answers a query for a job's state, or a request to cancel the job.
 
   The answer is sent once the state that it names has been stored.
   """
@@ -329,7 +329,7 @@
 
 
 def tick(owner: ownerstate.Owner):
-  """Does the work that is due: late offers and finished jobs."""
+  """Declines late offers and requests the finished jobs' list when due."""
   kept_records = owner.kept_records
   if kept_records.early_offers and not kept_records.loaded:
     _decline_late_offers(owner)
--- a/fescueturn/scheduler/keptrecords.py
+++ b/fescueturn/scheduler/keptrecords.py
@@ -25,8 +25,8 @@
 MAX_ROWS = 29
 _CHANGE_ROWS = 3
 _MOVE_ROWS = 5
-# Most new jobs that may wait to be written: those of four writes. The last one
-# is accepted within about 60 ms.
+# Maximum number of new jobs that wait to be written: those of four writes. The
+# last one is accepted within about 60 ms.
 MAX_UNSAVED_OFFERS = 4 * MAX_CHANGES
 # The store counts as unavailable when a write has had no answer for this long,
 # which leaves time for one lost call and its retry. No new jobs are accepted
@@ -93,13 +93,13 @@
     early_offers: the offers received before the records were read.
     pending_queries: the queries that wait for an answer, by job id.
     in_flight: the write that waits for the store's answer.
-    ended_list_requested: True once the finished jobs that previous holders left
-      have been asked for.
+    ended_list_requested: True once the list of the finished jobs that previous
+      holders left has been requested.
     moving: the moves of jobs to other shards that are to be written, by job id.
-    moved: the jobs moved away since the open jobs were last asked for.
+    moved: the jobs moved away since the open jobs were last requested.
     open_list_pending: True while the list of open jobs is being read, to find
       those moved here.
-    open_list_requested_at: when that list was last asked for (s).
+    open_list_requested_at: when that list was last requested (s).
   """
 
   def __init__(self):
@@ -135,7 +135,7 @@
     )
 
   def mark_loaded(self, loaded: keptevents.KeptJobsLoaded):
-    """Notes that the records have been read."""
+    """Marks the records of previous holders as read."""
     self.loaded = True
     self.takeovers = loaded.takeovers
     self._revision = loaded.revision
--- a/fescueturn/scheduler/offers.py
+++ b/fescueturn/scheduler/offers.py
@@ -13,10 +13,10 @@
 from fescueturn.scheduler import runcontrol
 
 # Retry delay that a holder in an evacuated data centre returns. An evacuation
-# lasts minutes, and other data centres are asked in the meantime.
+# lasts minutes, and the job is offered to other data centres in the meantime.
 EVACUATED_RETRY_MS = 5000
 # A job that starts within this time counts as starting immediately. Asking
-# another data centre takes a round trip of 1 to 2 ms and may find no more room.
+# another data centre takes a round trip of 1 to 2 ms and may find it full, too.
 IMMEDIATE_START_S = 0.005
 
 
@@ -69,12 +69,12 @@
 
   They were accepted before the owner knew its endpoints.
   """
-  early = [
+  unstarted = [
       job for job in owner.jobs.values() if not (job.begun or job.job.kept)
   ]
-  for job in early:
+  for job in unstarted:
     del owner.jobs[job.key]
-  for job in early:
+  for job in unstarted:
     forecast = forecast_lib.forecast(owner, job.offer(owner.now))
     owner.jobs[job.key] = job
     if forecast.late_s:
--- a/fescueturn/scheduler/owner.py
+++ b/fescueturn/scheduler/owner.py
@@ -1,4 +1,4 @@
-"""Periodic work of a shard's owner: timeouts, retries and hand-over of jobs.
+"""Periodic work of a shard's owner: timeouts, retries, handing back jobs.
 
 A job's runs continue only while its coordinator sends heartbeats.
 """
--- a/fescueturn/scheduler/ownerstate.py
+++ b/fescueturn/scheduler/ownerstate.py
@@ -39,7 +39,7 @@
 
   BLOCKED = "blocked"
   WAITING = "waiting"
-  # One run of it is ordered or running, or its result is not known yet.
+  # A run of the task was requested or is running, or its result is not known.
   ACTIVE = "active"
   DONE = "done"
 
@@ -86,7 +86,7 @@
     waiting: its tasks that can start now.
     unfinished: how many tasks of each step are not done.
     resumed: True if a previous holder had it, or it was submitted before.
-    begun: True once a run of it was ordered.
+    begun: True once the start of a run was requested.
     offer_number: the number of the latest offer of it.
     returning: True if it is to be handed back once none of its runs is active.
   """
@@ -168,7 +168,7 @@
   """An endpoint that may have crashed while it ran tasks.
 
   Attributes:
-    address: where it took orders.
+    address: the endpoint's address.
     since: when it was lost (s).
     tasks: the tasks that it was running.
   """
--- a/fescueturn/scheduler/reservations.py
+++ b/fescueturn/scheduler/reservations.py
@@ -20,8 +20,8 @@
 MIN_JOBS = 0.001
 # The slots reserved for a queue of wide jobs, in multiples of its mean demand:
 # these jobs arrive in bursts. Emulated loads of 110 and 130 jobs a second (1.1
-# and 1.3 times the capacity) were served 0.78 and 0.61 of their worth without a
-# reservation, 0.81 and 0.67 with a factor of 1.0, 0.82 and 0.71 with 1.5.
+# and 1.3 times the capacity) earned 0.78 and 0.61 of their total value without
+# a reservation, 0.81 and 0.67 with a factor of 1.0, 0.82 and 0.71 with 1.5.
 PEAK_FACTOR = 1.5
 # Upper limit of the reservation, as a part of all slots. Narrow jobs can always
 # use at least 2 of 5 slots; at 220 jobs a second (2.2 times the capacity) a
@@ -94,8 +94,8 @@
       total: the number of slots.
     """
     if sum(demand.mean_slots for demand in self._queues.values()) < total:
-      # There are slots for all. A reservation in this case as well cost a load
-      # of 0.9 times the capacity 0.013 of its worth.
+      # There are slots for all. A reservation in this case too cost a load of
+      # 0.9 times the capacity 0.013 of its total value.
       return 0
     own = self._queues.get(queue)
     width = own.width if own else tasks
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -75,13 +75,13 @@
     emulation.kill(fleets.owner_of(emulation, "a").name)
     emulation.clock.run_until(2.0)
     assert fleets.owner_of(emulation, "a").name.startswith("big")
-    claims = [
+    takeovers = [
         line
         for host in emulation.hosts.values()
         for line in host.log
         if line.event == "shard_taken"
     ]
-    assert len(claims) == 2
+    assert len(takeovers) == 2
 
 
 def test_host_without_a_usable_holder_is_not_ready():
@@ -92,9 +92,9 @@
   emulation = fleets.fleet()
   emulation.evacuate("a")
   host, idle = emulation.hosts["a0"], emulation.hosts["a1"]
-  for cut in (host, idle):
-    assert cut.state.coordinator.serves
-    cut.partitioned_from.update(
+  for isolated in (host, idle):
+    assert isolated.state.coordinator.serves
+    isolated.partitioned_from.update(
         n for n in emulation.hosts if not n.startswith("a")
     )
   emulation.clock.run_until(1.2)
@@ -109,8 +109,8 @@
   assert (
       emulation.answers[request].took_s < 0.01
   ), "the job was not refused at once"
-  for cut in (host, idle):
-    cut.partitioned_from.clear()
+  for isolated in (host, idle):
+    isolated.partitioned_from.clear()
   emulation.clock.run_until(7.0)
   assert host.state.coordinator.serves
   assert idle.state.coordinator.serves
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -22,11 +22,11 @@
 
 
 def submit(
-    emulation: fleet_lib.Fleet, host: str, wanted: model.Job, run_s=None
+    emulation: fleet_lib.Fleet, host: str, kept_job: model.Job, run_s=None
 ):
-  tasks = sum(step.count for step in wanted.steps)
-  seconds = run_s or wanted.steps[0].estimate_ms / 1000
-  return emulation.submit(host, wanted, [seconds] * tasks, 3.0)
+  tasks = sum(step.count for step in kept_job.steps)
+  seconds = run_s or kept_job.steps[0].estimate_ms / 1000
+  return emulation.submit(host, kept_job, [seconds] * tasks, 3.0)
 
 
 def load(emulation, hosts, seconds: float, per_s: float, prefix: str = "k"):
@@ -36,19 +36,19 @@
   for number in range(int(seconds * per_s)):
 
     def submit_one(name=f"{prefix}{number}"):
-      up = [h for h in hosts() if h.up and not h.frozen]
+      live_hosts = [h for h in hosts() if h.up and not h.frozen]
       run_ms = emulation.rng.choice((100, 200, 600))
-      wanted = job(name, emulation.rng.randint(1, 4), run_ms)
-      if up:
-        host = emulation.rng.choice(up).name
-        submitted.setdefault(name, []).append(submit(emulation, host, wanted))
+      kept_job = job(name, emulation.rng.randint(1, 4), run_ms)
+      if live_hosts:
+        host = emulation.rng.choice(live_hosts).name
+        submitted.setdefault(name, []).append(submit(emulation, host, kept_job))
 
     emulation.clock.at(start + number / per_s, submit_one)
   return submitted
 
 
 def hosts_of_zone(emulation, zone: str):
-  return lambda: fleets.zone_hosts(emulation, zone)
+  return lambda: fleets.hosts_in(emulation, zone)
 
 
 def all_hosts(emulation):
@@ -56,8 +56,8 @@
 
 
 def outcome(emulation, request) -> model.Outcome | None:
-  given = emulation.answers.get(request)
-  return given.answer.outcome if given else None
+  answered = emulation.answers.get(request)
+  return answered.answer.outcome if answered else None
 
 
 def assert_guarantees_hold(emulation, submitted):
@@ -67,10 +67,10 @@
       run.task.job_id for e in emulation.endpoints.values() for run in e.starts
   }
   for name, requests in submitted.items():
-    found = [outcome(emulation, request) for request in requests]
-    if model.Outcome.KEPT in found:
+    outcomes = [outcome(emulation, request) for request in requests]
+    if model.Outcome.KEPT in outcomes:
       assert emulation.kept_store.states[name] is model.KeptJobState.DONE, name
-    elif set(found) == {model.Outcome.NOT_RUN}:
+    elif set(outcomes) == {model.Outcome.NOT_RUN}:
       assert name not in started and name not in emulation.kept_store.states
 
 
@@ -135,15 +135,15 @@
   emulation = fleets.fleet(seed=seed)
   emulation.kept_load_delay_s = 0.3
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 3, 30
+      emulation, fleets.hosts_in(emulation, "a"), 3, 30
   )
   submitted = load(emulation, hosts_of_zone(emulation, "a"), 3, 10)
   owner = fleets.owner_of(emulation, "a")
   emulation.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
   emulation.clock.run_until(10)
   assert_guarantees_hold(emulation, submitted)
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.85 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -170,7 +170,7 @@
 def test_frozen_owner_that_wakes_writes_nothing_more(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   submitted = load(emulation, lambda: others, 4, 20)
   emulation.clock.at(2.0, lambda: setattr(owner, "frozen", True))
   emulation.clock.at(4.5, owner.thaw)
@@ -216,9 +216,9 @@
 
 def test_job_submitted_at_two_data_centres_runs_once():
   emulation = fleets.fleet()
-  wanted = job("k", 4, 200)
-  first = submit(emulation, "a0", wanted)
-  second = submit(emulation, "b0", wanted)
+  kept_job = job("k", 4, 200)
+  first = submit(emulation, "a0", kept_job)
+  second = submit(emulation, "b0", kept_job)
   emulation.clock.run_until(3)
   assert (
       outcome(emulation, first)
@@ -232,10 +232,10 @@
 @pytest.mark.parametrize("host", ("a0", "a1", "c2"))
 def test_job_resubmitted_after_its_end_is_accepted_and_starts_nothing(host):
   emulation = fleets.fleet()
-  wanted = job("k", 2, 100)
-  submit(emulation, "a0", wanted)
+  kept_job = job("k", 2, 100)
+  submit(emulation, "a0", kept_job)
   emulation.clock.run_until(3)
-  again = submit(emulation, host, wanted)
+  again = submit(emulation, host, kept_job)
   emulation.clock.run_until(5)
   assert outcome(emulation, again) is model.Outcome.KEPT
   assert sum(len(e.starts) for e in emulation.endpoints.values()) == 2
@@ -271,16 +271,16 @@
   emulation = fleets.fleet()
   submit(emulation, "a0", job("k", 2, 200))
   emulation.clock.run_until(1.1)
-  open_still = emulation.query_kept_job("b0", "k", "a", cancel=False)
+  before_end = emulation.query_kept_job("b0", "k", "a", cancel=False)
   emulation.clock.run_until(1.11)
-  assert outcome(emulation, open_still) is model.Outcome.KEPT
+  assert outcome(emulation, before_end) is model.Outcome.KEPT
   # The tasks end at 1.207 s, are listed within 1 ms, stored after 4 more.
   emulation.clock.run_until(1.2085)
   assert emulation.kept_store.states["k"] is model.KeptJobState.OPEN
-  just_finished = emulation.query_kept_job("b0", "k", "a", cancel=False)
+  at_end = emulation.query_kept_job("b0", "k", "a", cancel=False)
   emulation.clock.run_until(1.3)
-  assert outcome(emulation, just_finished) is model.Outcome.DONE
-  assert emulation.answers[just_finished].took_s < 0.03
+  assert outcome(emulation, at_end) is model.Outcome.DONE
+  assert emulation.answers[at_end].took_s < 0.03
 
 
 def test_cancel_survives_a_crash_of_the_holder():
@@ -316,8 +316,8 @@
       model.Step(2, fleets.NEED, 200),
       model.Step(2, fleets.NEED, 200, (0,)),
   )
-  wanted = dataclasses.replace(job("k", 1, 200), steps=steps)
-  emulation.submit("a0", wanted, [0.2] * 4, 3.0)
+  kept_job = dataclasses.replace(job("k", 1, 200), steps=steps)
+  emulation.submit("a0", kept_job, [0.2] * 4, 3.0)
   emulation.clock.run_until(1.25)
   emulation.kill(fleets.owner_of(emulation, "a").name)
   emulation.clock.run_until(8)
@@ -345,10 +345,10 @@
   submit(emulation, "a0", job("fill", 18, 3000))
   emulation.clock.run_until(1.2)
   for number in range(3):
-    wanted = job(f"k{number}", 2, 5000)
+    kept_job = job(f"k{number}", 2, 5000)
     emulation.hosts["a0"].state.coordinator.holders.pop(model.Shard("b"), None)
     emulation.hosts["a0"].state.coordinator.holders.pop(model.Shard("c"), None)
-    submit(emulation, "a0", wanted)
+    submit(emulation, "a0", kept_job)
   emulation.clock.run_until(3.0)
   for host in emulation.hosts.values():
     assert coordinator.pending(host.state.coordinator, "q") == 3
--- a/tests/test_new_holder.py
+++ b/tests/test_new_holder.py
@@ -11,7 +11,7 @@
   """Drains the holder of data centre a; returns the next one at once."""
   owner = fleets.owner_of(emulation, "a")
   owner.apply(events.DrainStarted())
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   while not any(h.state.owners for h in others):
     emulation.clock.run_until(emulation.clock.now + 0.0001)
   return fleets.owner_of(emulation, "a")
@@ -39,7 +39,7 @@
   wide = fleets.job("wide", 400, 1000)
   request = emulation.submit(host.name, wide, [1.0] * 400, deadline_s=3.0)
   emulation.clock.run_until(emulation.clock.now + 0.2)
-  answered = emulation.answers[request].answer
-  assert answered.outcome is model.Outcome.NOT_RUN
-  assert answered.retry_after_s > 0
+  answer = emulation.answers[request].answer
+  assert answer.outcome is model.Outcome.NOT_RUN
+  assert answer.retry_after_s > 0
   assert not any(e.starts for e in emulation.endpoints.values())
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -11,7 +11,7 @@
 def test_one_host_in_each_data_centre_owns_its_endpoints():
   emulation = fleets.fleet()
   fences = set()
-  for zone in fleets.ZONES:
+  for zone in fleets.DATA_CENTRES:
     (owner,) = fleets.owner_of(emulation, zone).state.owners.values()
     assert set(owner.endpoints) == {f"e-{zone}{n}" for n in range(8)}
     fences.add(owner.fence)
@@ -25,8 +25,8 @@
   )
   emulation.clock.run_until(15)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.95 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.95 * len(requests)
   for request in requests:
     answer = emulation.answers[request].answer
     assert answer.retry_after_s or answer.outcome is not model.Outcome.NOT_RUN
@@ -36,7 +36,7 @@
 def test_takeover_from_a_live_owner_starts_no_task_twice(seed):
   emulation = fleets.fleet(seed=seed)
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 6, 40
+      emulation, fleets.hosts_in(emulation, "a"), 6, 40
   )
   owner = fleets.owner_of(emulation, "a")
   # The owner is cut off from the store: its claim expires and another host
@@ -45,21 +45,21 @@
   emulation.clock.run_until(12)
   assert fleets.owner_of(emulation, "a") is not owner
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.85 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.85 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_killed_owner_is_replaced_and_its_runs_are_adopted(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   requests = fleets.submit_load(emulation, others, 6, 40)
   emulation.clock.at(3.0, lambda: emulation.kill(owner.name))
   emulation.clock.run_until(12)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.85 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.85 * len(requests)
   (new_owner,) = fleets.owner_of(emulation, "a").state.owners.values()
   assert new_owner.counters["adopted"] > 0
 
@@ -68,7 +68,7 @@
 def test_frozen_owner_is_fenced_off_when_it_wakes(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   requests = fleets.submit_load(emulation, others, 8, 40)
   emulation.clock.at(3.0, lambda: setattr(owner, "frozen", True))
   emulation.clock.at(6.0, owner.thaw)
@@ -84,14 +84,14 @@
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
   first = fleets.other_host(emulation, owner)
-  wanted = fleets.job("again", 4, 900)
-  emulation.submit(first.name, wanted, [1.0] * 4, deadline_s=3.5)
+  job = fleets.job("again", 4, 900)
+  emulation.submit(first.name, job, [1.0] * 4, deadline_s=3.5)
   emulation.clock.run_until(1.1)
   emulation.kill(first.name)
   assert sum(len(e.running) for e in emulation.endpoints.values()) == 4
   emulation.clock.run_until(1.1 + 1.3)
   assert sum(len(e.running) for e in emulation.endpoints.values()) == 0
-  second = emulation.submit(owner.name, wanted, [1.0] * 4, deadline_s=3.0)
+  second = emulation.submit(owner.name, job, [1.0] * 4, deadline_s=3.0)
   emulation.clock.run_until(6)
   assert emulation.answers[second].answer.outcome is model.Outcome.DONE
   assert emulation.broken == []
@@ -113,7 +113,7 @@
 
 def test_draining_endpoint_gets_no_new_task():
   emulation = fleets.fleet()
-  fleets.submit_load(emulation, fleets.zone_hosts(emulation, "a"), 8, 30)
+  fleets.submit_load(emulation, fleets.hosts_in(emulation, "a"), 8, 30)
   emulation.clock.at(3.0, lambda: emulation.drain("e-a0"))
   emulation.clock.run_until(4.2)
   before = len(emulation.endpoints["e-a0"].starts)
@@ -140,22 +140,22 @@
   emulation.clock.at(2.0, lambda: setattr(emulation, "store_up", False))
   emulation.clock.run_until(14)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.95 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_live_owner_that_loses_its_claim_gets_it_back():
   emulation = fleets.fleet()
   owner = fleets.owner_of(emulation, "a")
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 4, 30
+      emulation, fleets.hosts_in(emulation, "a"), 4, 30
   )
   emulation.clock.at(2.0, lambda: emulation.delete_claim(model.Shard("a")))
   emulation.clock.run_until(8)
   assert fleets.owner_of(emulation, "a") is owner
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.95 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.95 * len(requests)
 
 
 def test_crashed_endpoints_task_runs_again_elsewhere():
@@ -180,8 +180,8 @@
       emulation, list(emulation.hosts.values()), 6, 60
   )
   emulation.clock.run_until(12)
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.95 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.95 * len(requests)
   starts = {n: len(e.starts) for n, e in emulation.endpoints.items()}
   assert starts["e-a0"] < 0.3 * starts["e-a1"]
 
@@ -190,12 +190,12 @@
   emulation = fleets.fleet()
   emulation.endpoints["e-a0"].hanging = True
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 6, 30
+      emulation, fleets.hosts_in(emulation, "a"), 6, 30
   )
   emulation.clock.run_until(12)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.9 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -203,7 +203,7 @@
   """A new holder's first endpoint list may lack some that run its tasks."""
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   fleets.submit_load(emulation, others, 6, 60)
   emulation.clock.at(
       2.9, lambda: emulation.unlisted.update(("e-a0", "e-a1", "e-a2"))
@@ -227,12 +227,12 @@
       emulation, list(emulation.hosts.values()), 1.0, 60
   )
   emulation.clock.run_until(1.6)
-  assert all(fleets.owner_of(emulation, zone) for zone in fleets.ZONES)
+  assert all(fleets.owner_of(emulation, zone) for zone in fleets.DATA_CENTRES)
   emulation.clock.run_until(6)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.9 * len(requests)
-  assert model.Outcome.UNKNOWN not in found
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.9 * len(requests)
+  assert model.Outcome.UNKNOWN not in outcome_counts
 
 
 def test_lost_orders_quarantine_no_endpoint():
@@ -244,8 +244,8 @@
   )
   emulation.clock.run_until(14)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.9 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.9 * len(requests)
 
 
 def test_host_just_started_leaves_a_claim_to_its_live_holder():
@@ -296,8 +296,8 @@
   emulation = fleets.fleet(seed=seed)
   hosts = list(emulation.hosts.values())
   requests = fleets.submit_load(emulation, hosts, 8, 70)
-  for number, zone in enumerate(fleets.ZONES * 2):
-    when = 1.5 + number
+  for number, zone in enumerate(fleets.DATA_CENTRES * 2):
+    stop_at = 1.5 + number
 
     def stop(zone=zone):
       owner = fleets.owner_of(emulation, zone)
@@ -311,11 +311,11 @@
 
       emulation.clock.after(2.6, restart)
 
-    emulation.clock.at(when, stop)
+    emulation.clock.at(stop_at, stop)
   emulation.clock.run_until(15)
   assert emulation.broken == []
-  found = fleets.count_outcomes(emulation, requests)
-  assert found[model.Outcome.DONE] > 0.93 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts[model.Outcome.DONE] > 0.93 * len(requests)
 
 
 def test_job_offered_to_a_replaced_holder_is_never_reported_as_not_run():
@@ -338,8 +338,10 @@
           shard, linkmessages.HostProcess("a8", "a8.boot"), decline
       )
   )
-  reply = emulation.answers.get(request)
-  assert reply is None or reply.answer.outcome is not model.Outcome.NOT_RUN
+  answered = emulation.answers.get(request)
+  assert (
+      answered is None or answered.answer.outcome is not model.Outcome.NOT_RUN
+  )
 
 
 def test_job_with_an_unanswered_offer_is_never_reported_as_not_run():
@@ -377,7 +379,7 @@
 
 def test_job_waits_in_the_data_centre_with_the_shortest_wait():
   emulation = fleets.fleet()
-  for zone, run_ms in zip(fleets.ZONES, (200, 100, 200), strict=True):
+  for zone, run_ms in zip(fleets.DATA_CENTRES, (200, 100, 200), strict=True):
     filling = fleets.job(f"fill-{zone}", 18, run_ms)
     emulation.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
   emulation.clock.run_until(1.05)
@@ -392,7 +394,7 @@
   wide = fleets.job("wide", 400, 1000)
   request = emulation.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
   emulation.clock.run_until(1.2)
-  reply = emulation.answers[request].answer
-  assert reply.outcome is model.Outcome.NOT_RUN
-  assert reply.retry_after_s > 0
+  answer = emulation.answers[request].answer
+  assert answer.outcome is model.Outcome.NOT_RUN
+  assert answer.retry_after_s > 0
   assert not any(e.starts for e in emulation.endpoints.values())
--- a/tests/test_scheduler_host.py
+++ b/tests/test_scheduler_host.py
@@ -11,7 +11,7 @@
 from fescueturn.scheduler import model
 from fescueturn.scheduler import state
 
-PARTY = linkmessages.HostProcess("host-1", "boot-1")
+PROCESS = linkmessages.HostProcess("host-1", "boot-1")
 JOB = model.Job(
     "j", "s", "spec", (model.Step(1, model.Resources(1, 1, 0), 50),), 1, 1.6, 60
 )
@@ -27,7 +27,7 @@
   ports = host.Ports(
       call, call, call, call, call, on_ownership_change, *[call] * 4
   )
-  me = state.HostIdentity(PARTY, "north", (model.Shard("north"),))
+  me = state.HostIdentity(PROCESS, "north", (model.Shard("north"),))
   address = settings.Address("127.0.0.1", 0)
   return host.SchedulerHost(me, address, ports, timer.TimerService(1.0))
 
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -60,17 +60,15 @@
   emulation.clock.run_until(4.0)
   holders = [
       h
-      for h in fleets.zone_hosts(emulation, "a")
+      for h in fleets.hosts_in(emulation, "a")
       if h.state.owners and h != old_holder
   ]
   assert len(holders) == 1
-  assert (
-      not old_holder.state.owners
-  ), "the store or a fencing token ended its tenure"
+  assert not old_holder.state.owners, "the replaced holder still owns the shard"
   requests = fleets.submit_load(emulation, others, 3.0, 30)
   emulation.clock.run_until(9.0)
-  found = fleets.count_outcomes(emulation, requests)
-  assert found.get(model.Outcome.DONE, 0) > 0.95 * len(requests)
+  outcome_counts = fleets.count_outcomes(emulation, requests)
+  assert outcome_counts.get(model.Outcome.DONE, 0) > 0.95 * len(requests)
   assert emulation.broken == []
 
 
@@ -84,7 +82,7 @@
 def test_data_centre_cut_off_from_the_others_keeps_its_holder():
   emulation = fleets.fleet()
   old_holder = fleets.owner_of(emulation, "a")
-  local_hosts = fleets.zone_hosts(emulation, "a")
+  local_hosts = fleets.hosts_in(emulation, "a")
   for host in local_hosts:
     host.partitioned_from.update(
         n for n in emulation.hosts if not n.startswith("a")
