--- a/fescueturn/scheduler/host.py
+++ b/fescueturn/scheduler/host.py
@@ -258,8 +258,8 @@
   async def close(self):
     """Closes every connection."""
     await self._server.close()
-    for peer in self._links.values():
-      await peer.close()
+    for peer_link in self._links.values():
+      await peer_link.close()
 
   def dump(self) -> dict:
     """Returns the whole state as JSON-ready data."""
@@ -304,10 +304,10 @@
     if holder.boot == self._state.me.process.boot:
       await self.apply(effect.message)
       return
-    peer = self._links.get(holder.peer)
-    if peer is None:
-      peer = self._links[holder.peer] = self._new_link(holder)
-    await peer.send(effect.shard, effect.message)
+    peer_link = self._links.get(holder.peer)
+    if peer_link is None:
+      peer_link = self._links[holder.peer] = self._new_link(holder)
+    await peer_link.send(effect.shard, effect.message)
 
   def _new_link(self, holder: model.Holder) -> link.Link:
     async def on_message(shard, message):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -14,11 +14,11 @@
 PROPAGATION_S = 0.05
 
 
-def starts_in(emulation, zone: str) -> int:
+def starts_in(emulation, data_centre_name: str) -> int:
   return sum(
       len(e.starts)
       for e in emulation.endpoints.values()
-      if e.info.data_centre == zone
+      if e.info.data_centre == data_centre_name
   )
 
 
@@ -104,10 +104,12 @@
 
 def test_job_is_refused_at_once_when_every_data_centre_is_evacuated():
   emulation = fleets.fleet()
-  for zone in fleets.DATA_CENTRES:
-    emulation.evacuate(zone)
+  for data_centre in fleets.DATA_CENTRES:
+    emulation.evacuate(data_centre)
   emulation.clock.run_until(1.1)
-  before = sum(starts_in(emulation, zone) for zone in fleets.DATA_CENTRES)
+  before = sum(
+      starts_in(emulation, data_centre) for data_centre in fleets.DATA_CENTRES
+  )
   job = fleets.job("j", 2, 100)
   request = emulation.submit("a0", job, [0.1] * 2)
   emulation.clock.run_until(1.2)
@@ -117,7 +119,11 @@
   assert answered.answer.retry_after_s >= 5
   assert answered.took_s < 0.05
   assert (
-      sum(starts_in(emulation, zone) for zone in fleets.DATA_CENTRES) == before
+      sum(
+          starts_in(emulation, data_centre)
+          for data_centre in fleets.DATA_CENTRES
+      )
+      == before
   )
 
 
@@ -179,12 +185,17 @@
       emulation, list(emulation.hosts.values()), load_s, 40
   )
   test_random_faults.Faults(emulation, seed).plan()
-  for zone in rng.sample(fleets.DATA_CENTRES, 2):
+  for data_centre in rng.sample(fleets.DATA_CENTRES, 2):
     begin = rng.uniform(1.5, load_s - 4)
-    emulation.clock.at(begin, lambda zone=zone: emulation.evacuate(zone))
+    emulation.clock.at(
+        begin, lambda data_centre=data_centre: emulation.evacuate(data_centre)
+    )
     end = begin + rng.uniform(0.2, 5.0)
     emulation.clock.at(
-        end, lambda zone=zone: emulation.evacuate(zone, wanted=False)
+        end,
+        lambda data_centre=data_centre: emulation.evacuate(
+            data_centre, wanted=False
+        ),
     )
   emulation.clock.run_until(test_random_faults.END_S)
   assert emulation.broken == []
--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -31,8 +31,10 @@
   request = emulation.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
   emulation.clock.run_until(1.1)
   assert test_kept_jobs.outcome(emulation, request) is model.Outcome.KEPT
-  zones = {e.info.data_centre for e in emulation.endpoints.values() if e.starts}
-  assert zones == {"a"}
+  started_in = {
+      e.info.data_centre for e in emulation.endpoints.values() if e.starts
+  }
+  assert started_in == {"a"}
   emulation.evacuate("a")
   emulation.clock.run_until(5.0)
   assert all_done(emulation, ["j"])
@@ -72,12 +74,17 @@
       emulation, test_kept_jobs.all_hosts(emulation), 10.0, 15, "k"
   )
   test_random_faults.Faults(emulation, seed).plan()
-  for number, zone in enumerate("abcabc"):
+  for number, data_centre in enumerate("abcabc"):
     begin = 1.5 + 1.7 * number
-    emulation.clock.at(begin, lambda zone=zone: emulation.evacuate(zone))
+    emulation.clock.at(
+        begin, lambda data_centre=data_centre: emulation.evacuate(data_centre)
+    )
     end = begin + emulation.rng.uniform(0.1, 2.5)
     emulation.clock.at(
-        end, lambda zone=zone: emulation.evacuate(zone, wanted=False)
+        end,
+        lambda data_centre=data_centre: emulation.evacuate(
+            data_centre, wanted=False
+        ),
     )
   emulation.clock.run_until(60.0)
   test_kept_jobs.assert_guarantees_hold(emulation, submitted)
@@ -88,8 +95,8 @@
   emulation = fleets.fleet()
   emulation.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
   emulation.clock.run_until(1.1)
-  for zone in fleets.DATA_CENTRES:
-    emulation.evacuate(zone)
+  for data_centre in fleets.DATA_CENTRES:
+    emulation.evacuate(data_centre)
   emulation.clock.run_until(4.0)
   assert emulation.kept_store.states["j"] is model.KeptJobState.OPEN
   emulation.evacuate("a", wanted=False)
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -47,8 +47,8 @@
   return submitted
 
 
-def hosts_of_zone(emulation, zone: str):
-  return lambda: fleets.hosts_in(emulation, zone)
+def hosts_of(emulation, data_centre: str):
+  return lambda: fleets.hosts_in(emulation, data_centre)
 
 
 def all_hosts(emulation):
@@ -110,7 +110,7 @@
 def test_next_owner_finishes_the_jobs_of_a_killed_one(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  submitted = load(emulation, hosts_of_zone(emulation, "a"), 4, 25)
+  submitted = load(emulation, hosts_of(emulation, "a"), 4, 25)
   emulation.clock.at(2.5, lambda: emulation.kill(owner.name))
   emulation.clock.run_until(14)
   assert_guarantees_hold(emulation, submitted)
@@ -121,7 +121,7 @@
 def test_run_that_ends_while_the_records_are_read_is_not_run_again(load_s):
   emulation = fleets.fleet()
   emulation.kept_load_delay_s = load_s
-  submitted = load(emulation, hosts_of_zone(emulation, "a"), 2, 25)
+  submitted = load(emulation, hosts_of(emulation, "a"), 2, 25)
   owner = fleets.owner_of(emulation, "a")
   emulation.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
   emulation.clock.run_until(10)
@@ -137,7 +137,7 @@
   requests = fleets.submit_load(
       emulation, fleets.hosts_in(emulation, "a"), 3, 30
   )
-  submitted = load(emulation, hosts_of_zone(emulation, "a"), 3, 10)
+  submitted = load(emulation, hosts_of(emulation, "a"), 3, 10)
   owner = fleets.owner_of(emulation, "a")
   emulation.clock.at(2.0, lambda: owner.apply(events.DrainStarted()))
   emulation.clock.run_until(10)
@@ -208,7 +208,7 @@
 
 def test_live_owner_that_loses_its_claim_loses_no_job():
   emulation = fleets.fleet()
-  submitted = load(emulation, hosts_of_zone(emulation, "a"), 4, 20)
+  submitted = load(emulation, hosts_of(emulation, "a"), 4, 20)
   emulation.clock.at(2.0, lambda: emulation.delete_claim(SHARD))
   emulation.clock.run_until(14)
   assert_guarantees_hold(emulation, submitted)
--- a/tests/test_new_holder.py
+++ b/tests/test_new_holder.py
@@ -39,7 +39,7 @@
   wide = fleets.job("wide", 400, 1000)
   request = emulation.submit(host.name, wide, [1.0] * 400, deadline_s=3.0)
   emulation.clock.run_until(emulation.clock.now + 0.2)
-  answer = emulation.answers[request].answer
-  assert answer.outcome is model.Outcome.NOT_RUN
-  assert answer.retry_after_s > 0
+  answered = emulation.answers[request].answer
+  assert answered.outcome is model.Outcome.NOT_RUN
+  assert answered.retry_after_s > 0
   assert not any(e.starts for e in emulation.endpoints.values())
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -11,9 +11,9 @@
 def test_one_host_in_each_data_centre_owns_its_endpoints():
   emulation = fleets.fleet()
   fences = set()
-  for zone in fleets.DATA_CENTRES:
-    (owner,) = fleets.owner_of(emulation, zone).state.owners.values()
-    assert set(owner.endpoints) == {f"e-{zone}{n}" for n in range(8)}
+  for data_centre in fleets.DATA_CENTRES:
+    (owner,) = fleets.owner_of(emulation, data_centre).state.owners.values()
+    assert set(owner.endpoints) == {f"e-{data_centre}{n}" for n in range(8)}
     fences.add(owner.fence)
   assert len(fences) == 3
 
@@ -84,14 +84,14 @@
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
   first = fleets.other_host(emulation, owner)
-  job = fleets.job("again", 4, 900)
-  emulation.submit(first.name, job, [1.0] * 4, deadline_s=3.5)
+  repeated_job = fleets.job("again", 4, 900)
+  emulation.submit(first.name, repeated_job, [1.0] * 4, deadline_s=3.5)
   emulation.clock.run_until(1.1)
   emulation.kill(first.name)
   assert sum(len(e.running) for e in emulation.endpoints.values()) == 4
   emulation.clock.run_until(1.1 + 1.3)
   assert sum(len(e.running) for e in emulation.endpoints.values()) == 0
-  second = emulation.submit(owner.name, job, [1.0] * 4, deadline_s=3.0)
+  second = emulation.submit(owner.name, repeated_job, [1.0] * 4, deadline_s=3.0)
   emulation.clock.run_until(6)
   assert emulation.answers[second].answer.outcome is model.Outcome.DONE
   assert emulation.broken == []
@@ -221,13 +221,16 @@
   for name, _ in names:
     emulation.kill(name)
   emulation.clock.run_until(1.2)
-  for name, zone in names:
-    emulation.add_host(name, zone)
+  for name, data_centre_name in names:
+    emulation.add_host(name, data_centre_name)
   requests = fleets.submit_load(
       emulation, list(emulation.hosts.values()), 1.0, 60
   )
   emulation.clock.run_until(1.6)
-  assert all(fleets.owner_of(emulation, zone) for zone in fleets.DATA_CENTRES)
+  assert all(
+      fleets.owner_of(emulation, data_centre_name)
+      for data_centre_name in fleets.DATA_CENTRES
+  )
   emulation.clock.run_until(6)
   assert emulation.broken == []
   outcome_counts = fleets.count_outcomes(emulation, requests)
@@ -296,18 +299,18 @@
   emulation = fleets.fleet(seed=seed)
   hosts = list(emulation.hosts.values())
   requests = fleets.submit_load(emulation, hosts, 8, 70)
-  for number, zone in enumerate(fleets.DATA_CENTRES * 2):
+  for number, data_centre in enumerate(fleets.DATA_CENTRES * 2):
     stop_at = 1.5 + number
 
-    def stop(zone=zone):
-      owner = fleets.owner_of(emulation, zone)
+    def stop(data_centre=data_centre):
+      owner = fleets.owner_of(emulation, data_centre)
       owner.apply(events.DrainStarted())
       hosts.remove(owner)
 
       def restart():
         assert owner.state.idle
         emulation.kill(owner.name)
-        hosts.append(emulation.add_host(owner.name, zone))
+        hosts.append(emulation.add_host(owner.name, data_centre))
 
       emulation.clock.after(2.6, restart)
 
@@ -379,9 +382,11 @@
 
 def test_job_waits_in_the_data_centre_with_the_shortest_wait():
   emulation = fleets.fleet()
-  for zone, run_ms in zip(fleets.DATA_CENTRES, (200, 100, 200), strict=True):
-    filling = fleets.job(f"fill-{zone}", 18, run_ms)
-    emulation.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
+  for data_centre, run_ms in zip(
+      fleets.DATA_CENTRES, (200, 100, 200), strict=True
+  ):
+    filling = fleets.job(f"fill-{data_centre}", 18, run_ms)
+    emulation.submit(f"{data_centre}0", filling, [run_ms / 1000] * 18)
   emulation.clock.run_until(1.05)
   request = emulation.submit("a0", fleets.job("next", 2, 200), [0.2] * 2)
   emulation.clock.run_until(2.0)
@@ -394,7 +399,7 @@
   wide = fleets.job("wide", 400, 1000)
   request = emulation.submit("a0", wide, [1.0] * 400, deadline_s=3.0)
   emulation.clock.run_until(1.2)
-  answer = emulation.answers[request].answer
-  assert answer.outcome is model.Outcome.NOT_RUN
-  assert answer.retry_after_s > 0
+  reply = emulation.answers[request].answer
+  assert reply.outcome is model.Outcome.NOT_RUN
+  assert reply.retry_after_s > 0
   assert not any(e.starts for e in emulation.endpoints.values())
