--- a/fescueturn/scheduler/coordinatorstate.py
+++ b/fescueturn/scheduler/coordinatorstate.py
@@ -161,7 +161,7 @@
 
   @property
   def serves(self) -> bool:
-    """True unless no holder could be offered a job for `UNSERVED_S`."""
+    """False once no holder could be offered a job for `UNSERVED_S`."""
     since = self.unserved_since
     return since is None or self.now - since < UNSERVED_S
 
--- a/fescueturn/scheduler/keptjobs.py
+++ b/fescueturn/scheduler/keptjobs.py
@@ -218,7 +218,7 @@
   _answer_queries(owner, job_id, None)
 
 
-def _job_forgotten(owner, change: keptevents.DeleteJob):
+def _record_deleted(owner, change: keptevents.DeleteJob):
   owner.kept_records.finished_jobs.pop(change.job_id, None)
 
 
@@ -226,7 +226,7 @@
     keptevents.StoreJob: _job_written,
     keptevents.StoreProgress: _progress_written,
     keptevents.StoreEnd: _end_written,
-    keptevents.DeleteJob: _job_forgotten,
+    keptevents.DeleteJob: _record_deleted,
     keptevents.MoveJob: _job_moved,
 }
 
--- a/fescueturn/scheduler/keptrecords.py
+++ b/fescueturn/scheduler/keptrecords.py
@@ -35,10 +35,9 @@
 # Time from a takeover to the search for finished jobs that previous holders
 # left in the store, so that it doesn't slow the takeover down.
 LIST_ENDED_DELAY_S = 30.0
-
-# How often jobs that were moved here are looked for while data centres are
-# evacuated. They wait at most this long, against a bound of 3 s for a task that
-# could run.
+# Interval at which jobs that were moved here are looked for while data centres
+# are evacuated. They wait at most this long, well below the limit of 3 s for
+# the delay of a task that could run.
 LIST_OPEN_PERIOD_S = 1.0
 
 # Identifies the result of a run: the endpoint that lists it and its number
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -270,7 +270,7 @@
   host = fleets.other_host(emulation, owner)
   request = emulation.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2)
   record = host.state.coordinator.jobs["j"]
-  record.offer_count += 1  # As if it had been offered again meanwhile.
+  record.offer_count += 1  # As if the job had been offered again meanwhile.
   late = linkmessages.Declined(record.key, 1, 100)
   host.apply(
       events.HolderMessageReceived(model.Shard("a"), owner.process, late)
@@ -353,9 +353,8 @@
   owner = fleets.owner_of(emulation, "a")
   host = fleets.other_host(emulation, owner)
   request = emulation.submit(host.name, fleets.job("j", 2, 200), [0.2] * 2, 1.0)
-  host.partitioned_from.add(
-      owner.name
-  )  # The offer has been sent; no answer arrives.
+  # The offer has been sent; no answer arrives.
+  host.partitioned_from.add(owner.name)
   (record,) = host.state.coordinator.jobs.values()
   record.deadline = emulation.clock.now
   host.apply(events.Tick())
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -35,7 +35,7 @@
 
 
 def test_holder_that_lost_power_is_replaced_before_its_claim_expires():
-  """Its job of 0.9 s is done 0.8 s sooner than if its claim had to expire."""
+  """A job of 0.9 s ends 0.8 s sooner than if the claim first had to expire."""
   emulation = fleets.fleet()
   emulation.clock.run_until(3.0)
   old_holder = fleets.owner_of(emulation, "a")
