--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -64,6 +64,7 @@
       if h.state.owners and h != old_holder
   ]
   assert len(holders) == 1
+  # The store or a fencing token has ended the old holder's tenure.
   assert not old_holder.state.owners, "the replaced holder still owns the shard"
   requests = fleets.submit_load(emulation, others, 3.0, 30)
   emulation.clock.run_until(9.0)
