--- a/fescueturn/platform/callers.py
+++ b/fescueturn/platform/callers.py
@@ -23,7 +23,8 @@
 DEFAULT_DEADLINE_S = 10.0
 # Time to read a body after its headers: 262,144 bytes at 30 KB/s.
 BODY_TIMEOUT_S = 9.0
-# When a caller may retry at a host that cannot accept jobs yet.
+# Default Retry-After (s) of refusals, such as by a host that cannot accept jobs
+# yet.
 RETRY_AFTER_S = 1
 _STATE_NAMES = {
     model.KeptJobState.OPEN: "running",
@@ -263,9 +264,10 @@
   ) -> model.KeptJobState:
     """Returns the state of a job that the store has as open.
 
-    Asks the shard's holder, which answers for a job that has just ended once
-    its end is stored. Storing it takes 15 to 30 ms, while callers poll some 20
-    ms after a job's last task and then only 250 ms later.
+    Asks the shard's holder: if the job is just ending, the holder answers once
+    its end is stored, which takes 15 to 30 ms. Callers poll some 20 ms after a
+    job's last task and then only 250 ms later, so an answer from the store
+    alone would often be one poll late.
     """
     answer = await self._host.query_kept_job(
         job_id, job_status.shard, False, _deadline_s(request)
--- a/fescueturn/platform/claims.py
+++ b/fescueturn/platform/claims.py
@@ -25,7 +25,7 @@
 # them, so they outlive the claim.
 FENCES_PREFIX = "fescueturn/fences/"
 # How long a frozen holder keeps its claim. The leases of its endpoints last
-# 0.8 s, so that none of its runs is left when the claim expires.
+# 0.8 s, so none of its runs is left when the claim expires.
 LEASE_MS = 1500
 # Three renewals within the lease's duration.
 RENEW_PERIOD_S = 0.5
@@ -149,11 +149,11 @@
       return await self._transact_claim(effect, follows), follows
     except kvtypes.ConflictError as exc:
       claim = exc.items.get(claim_key(effect.shard))
-      last_claim_key = exc.items.get(_last_claim_key(effect.shard))
+      last_claim = exc.items.get(_last_claim_key(effect.shard))
       if (claim.revision if claim else 0) != effect.replaces:
         raise
-      # Another host has held the shard meanwhile, unknown to this one.
-      follows = last_claim_key.revision if last_claim_key else 0
+      # Another host has held the shard since this host last read its claim.
+      follows = last_claim.revision if last_claim else 0
       return await self._transact_claim(effect, follows), follows
 
   async def _transact_claim(
--- a/fescueturn/platform/endpoints.py
+++ b/fescueturn/platform/endpoints.py
@@ -20,8 +20,8 @@
 from fescueturn.scheduler import timeouts
 
 PREFIX = "servers/"
-# A draining endpoint must get no new task 2 s after it has announced it. A read
-# that times out (1 s) and its retry still fit into this time.
+# An endpoint must get no new task from 2 s after it announces that it is
+# draining. A read that times out (1 s) and its retry still fit into this time.
 POLL_PERIOD_S = 0.7
 # Entries that expired during an outage of the store are written again within 2
 # s of its end. Until then an unlisted endpoint is kept; if it is dead, its
@@ -225,25 +225,28 @@
       await self._task.cancel()
 
 
-def run_name(task: model.Task) -> str:
-  """Returns the platform's name of a task: job, occurrence, step, index."""
+def format_task_name(task: model.Task) -> str:
+  """Returns the platform's name of a task: its job, occurrence, step, index.
+
+  The occurrence follows a dot in the job's id; it is 0 if the id has none.
+  """
   job = task.job_id if "." in task.job_id else f"{task.job_id}.0"
   return f"{job}.{task.step}.{task.index}"
 
 
-def parse_run_name(name: str) -> model.Task:
+def parse_task_name(name: str) -> model.Task:
   """Returns the task that the platform's name stands for."""
   job, step, index = name.rsplit(".", 2)
   return model.Task(job.removesuffix(".0"), int(step), int(index))
 
 
 def _decode_active_run(row: wire.RunningRow) -> model.ActiveRun:
-  run = model.RunId(parse_run_name(row.task), row.attempt)
+  run = model.RunId(parse_task_name(row.task), row.attempt)
   return model.ActiveRun(run, int(row.percent))
 
 
 def _decode_ended_run(row: wire.FinishedRow) -> model.EndedRun:
-  run = model.RunId(parse_run_name(row.task), row.attempt)
+  run = model.RunId(parse_task_name(row.task), row.attempt)
   return model.EndedRun(
       row.number, run, _OUTCOME_BY_HOW.get(row.how, model.RunOutcome.LOST)
   )
@@ -362,7 +365,7 @@
   async def start(self, order: events.StartRun) -> events.StartAnswered:
     """Orders an endpoint to start a run."""
     body = {
-        "task": run_name(order.run.task),
+        "task": format_task_name(order.run.task),
         "attempt": order.run.attempt,
         "spec": order.spec,
         "deadlineMs": order.deadline_ms,
@@ -378,7 +381,7 @@
   async def stop(self, order: events.StopRun) -> events.StopAnswered:
     """Orders an endpoint to stop a run."""
     body = {
-        "task": run_name(order.run.task),
+        "task": format_task_name(order.run.task),
         "attempt": order.run.attempt,
         "fencingToken": order.fence,
     }
--- a/fescueturn/platform/jobstore.py
+++ b/fescueturn/platform/jobstore.py
@@ -77,8 +77,8 @@
 class JobStore:
   """Reads and writes the records of kept jobs.
 
-  Its only own state, the number of takeovers per shard, is loaded again with
-  the shard's records.
+  It keeps only the number of takeovers per shard, which `load` reads again from
+  the store.
   """
 
   def __init__(self, client: kvtypes.Store, now: Callable[[], float]):
@@ -92,8 +92,8 @@
     Raises:
       errors.KvError: the store did not answer, or the record can't be decoded.
     """
-    found = await self._client.get(JOBS + job_id)
-    return _decode_status(found.items[0]) if found.items else None
+    answer = await self._client.get(JOBS + job_id)
+    return _decode_status(answer.items[0]) if answer.items else None
 
   async def load(
       self, effect: keptevents.LoadKeptJobs
@@ -101,7 +101,8 @@
     """Takes over a shard's records and reads them, with retries.
 
     Returns:
-      The shard's open jobs, or that another host has replaced this holder.
+      The shard's open jobs; `replaced` is set instead if another host has
+      replaced this holder.
     """
     backoff = storebackoff.StoreBackoff("kept_load", self._now)
     while True:
@@ -115,8 +116,8 @@
 
   async def _try_load(self, effect: keptevents.LoadKeptJobs):
     key = _shard_key(_HEADS, effect.shard)
-    found = await self._client.get(key)
-    item = found.items[0] if found.items else None
+    answer = await self._client.get(key)
+    item = answer.items[0] if answer.items else None
     last_head = _decode_head(item)
     if last_head is not None and last_head.fence > effect.fence:
       return keptevents.KeptJobsLoaded(
@@ -161,8 +162,8 @@
 
   async def _read_records(self, shard_key: str) -> dict[str, bytes]:
     prefix = shard_key + "/"
-    found = await self._client.range(prefix)
-    return {item.key.removeprefix(prefix): item.value for item in found.items}
+    answer = await self._client.range(prefix)
+    return {item.key.removeprefix(prefix): item.value for item in answer.items}
 
   async def write(
       self, effect: keptevents.WriteKeptJobs
@@ -174,7 +175,7 @@
         revision = await self._client.transact(self._transaction(effect))
         result, existing = keptevents.WriteResult.DONE, ()
       except kvtypes.ConflictError as exc:
-        result, revision, existing = _conflict(effect, exc)
+        result, revision, existing = _resolve_conflict(effect, exc)
       except errors.KvError as exc:
         await backoff.handle_failure(exc)
         continue
@@ -239,10 +240,10 @@
     """Finds a shard's ended jobs; returns none if the store is unavailable."""
     job_ids: tuple[str, ...] = ()
     try:
-      found = await self._client.range(JOBS)
+      answer = await self._client.range(JOBS)
       job_ids = tuple(
           item.key.removeprefix(JOBS)
-          for item in found.items
+          for item in answer.items
           if _has_ended(item, effect.shard)
       )
     except errors.KvError as exc:
@@ -294,10 +295,10 @@
   return claim is not None and claim.revision == fence
 
 
-def _conflict(
+def _resolve_conflict(
     effect: keptevents.WriteKeptJobs, conflict: kvtypes.ConflictError
 ) -> tuple[keptevents.WriteResult, int, tuple[str, ...]]:
-  """Interprets the conflict that a write met.
+  """Finds out from a conflict what became of a write.
 
   Returns:
     The write's result, the revision of the shard's head record, and the ids of
--- a/fescueturn/platform/role.py
+++ b/fescueturn/platform/role.py
@@ -40,9 +40,9 @@
 # The shortest time for which a stopping process serves new connections: the
 # balancer probes once a second and opens no more after two failed probes.
 ROTATION_DELAY_S = 2.3
-# How long a stopping process still accepts jobs. Those accepted last have 2.3 s
-# left, longer than 95% of the jobs take, and by then the balancer has had time
-# to send new jobs to other hosts.
+# How long a stopping process still accepts jobs. The last accepted ones have 2.3
+# s left to run, which is enough for 95% of the jobs, and by then the balancer has
+# had time to send new jobs to other hosts.
 ACCEPT_JOBS_S = 3.0
 # The process exits this long before the end of its grace period, even if jobs
 # are still open.
@@ -283,11 +283,15 @@
 async def _main(
     node: nodefile.NodeSettings,
     log: logs.BoundedSink,
-    collector: settings.Address | None,
+    statsd_address: settings.Address | None,
 ):
   clock = timer.TimerService(host_lib.TICK_S)
   clock.subscribe(log.tick)
-  stats = metrics.client(collector, "role", node.host) if collector else None
+  stats = (
+      metrics.client(statsd_address, "role", node.host)
+      if statsd_address
+      else None
+  )
   process = EntryProcess(node, clock, stats)
   await process.start()
   await process.run()
@@ -298,11 +302,11 @@
   """Runs the entry host; exits with status 2 if its settings are invalid."""
   try:
     node = nodefile.load()
-    collector = nodefile.statsd_address()
+    statsd_address = nodefile.statsd_address()
   except errors.SettingsError as exc:
     print(f"event=settings_rejected error={exc}", file=sys.stderr)
     sys.exit(EXIT_BAD_SETTINGS)
-  curio.run(_main, node, logs.setup_bounded(node.host), collector)
+  curio.run(_main, node, logs.setup_bounded(node.host), statsd_address)
 
 
 if __name__ == "__main__":
--- a/fescueturn/platform/store.py
+++ b/fescueturn/platform/store.py
@@ -37,7 +37,7 @@
 
 
 def _decode_item(raw: wire.KeyItem) -> kvtypes.Item:
-  # A removed key has a tombstone flag in place of its value.
+  # A removed key has a tombstone flag instead of a value.
   if raw.tombstone or raw.value is None:
     return kvtypes.Item(raw.key, raw.revision, None)
   return kvtypes.Item(raw.key, raw.revision, _decode_value(raw.key, raw.value))
--- a/fescueturn/platform/storebackoff.py
+++ b/fescueturn/platform/storebackoff.py
@@ -1,7 +1,7 @@
 """Back-off between calls of the store, and logs of its outages.
 
 A call that the store does not answer times out and is retried after a pause. A
-watch may wait for what these two leave of the host's convergence time.
+watch may wait for the rest of the host's convergence time.
 """
 
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 from fescueturn.platform import store
 
 # First and longest pause after a failed call. The store answers some 100 calls
-# in the longest pause, and a host that must have converged within 3 s can
-# afford it.
+# in the longest pause, and a host that must converge within 3 s can spare that
+# time.
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 0.4
 # Allowance for the call that succeeds: a new connection, the answer of a slow
@@ -60,8 +60,8 @@
 
     Args:
       revision: the store's revision in the answer.
-      full_read: True for a read of all keys, which does not reset the back-off:
-        such reads must not follow each other without growing pauses.
+      full_read: True for a read of all keys. It does not reset the back-off, so
+        that the pauses between repeated full reads grow.
     """
     if not self._available:
       logger.info(
@@ -76,7 +76,7 @@
       self._pause_s = RETRY_MIN_S
 
   async def handle_failure(self, error: errors.KvError):
-    """Waits after a failed call, twice as long each time up to the longest."""
+    """Waits after a failed call; doubles the wait, up to `RETRY_MAX_S`."""
     if self._available:
       logger.warning(
           'event=store_lost what={} unheard_ms={} error="{}"',
--- a/fescueturn/platform/wireserver.py
+++ b/fescueturn/platform/wireserver.py
@@ -1,4 +1,4 @@
-"""Serves a key-value store over the platform's HTTP API, for stand-ins."""
+"""HTTP server of the platform's key-value store API, for stand-ins and tests."""
 
 import base64
 import json
@@ -64,8 +64,8 @@
 
   async def notify_watches(self):
     """Wakes the waiting watches to check for changes."""
-    before, self._changes = self._changes, curio.Event()
-    await before.set()
+    previous, self._changes = self._changes, curio.Event()
+    await previous.set()
 
   async def handle(self, request: httpio.Request) -> httpio.Response | None:
     """Answers a call; returns None if the path is not a call of the store."""
@@ -109,10 +109,10 @@
     prefix, after = call["prefix"], int(call["after"])
     wait_s = min(MAX_WATCH_S, int(call["waitMs"]) / 1000)
     await curio.ignore_after(wait_s, self._wait, prefix, after)
-    found = self._store.changes(prefix, after)
-    if found is None:
+    changes = self._store.changes(prefix, after)
+    if changes is None:
       return httpio.json_response(410, {})
-    events = [self._row(item) for item in found]
+    events = [self._row(item) for item in changes]
     answer = {"events": events, "currentRev": self._store.revision}
     return httpio.json_response(200, answer)
 
@@ -146,14 +146,14 @@
     answer = {"lease": lease, "ttlMs": call["ttlMs"]}
     return httpio.json_response(200, answer)
 
-  async def _keep(self, call: dict) -> httpio.Response:
-    kept = self._store.keep_alive(int(call["argument"]), self._now())
-    return httpio.json_response(200 if kept else 404, {})
+  async def _keep_alive(self, call: dict) -> httpio.Response:
+    renewed = self._store.keep_alive(int(call["argument"]), self._now())
+    return httpio.json_response(200 if renewed else 404, {})
 
-  async def _end(self, call: dict) -> httpio.Response:
-    ended = self._store.revoke(int(call["argument"]))
+  async def _revoke(self, call: dict) -> httpio.Response:
+    revoked = self._store.revoke(int(call["argument"]))
     await self.notify_watches()
-    return httpio.json_response(200 if ended else 404, {})
+    return httpio.json_response(200 if revoked else 404, {})
 
 
 _HANDLERS = {
@@ -162,6 +162,6 @@
     ("GET", "kv-watch"): WireServer._watch,
     ("POST", "kv-txn"): WireServer._transact,
     ("POST", "kv-lease"): WireServer._grant,
-    ("POST", "kv-keep"): WireServer._keep,
-    ("DELETE", "kv-lease-end"): WireServer._end,
+    ("POST", "kv-keep"): WireServer._keep_alive,
+    ("DELETE", "kv-lease-end"): WireServer._revoke,
 }
