--- a/spec/answer.pml
+++ b/spec/answer.pml
@@ -5,14 +5,15 @@
  * starts, run it, fail it, or run it and lose the reply. The job may reach
  * its deadline, be cancelled, or lose its coordinator at any moment.
  *
- * The protocol checked, as in jobs.py: a task is sent again only when its
- * endpoint surely did not start it; the answer is given once, whole, and
- * says of each task "ran", "not run" or "unknown" truthfully, then and later.
+ * The protocol checked, as in jobs.py: a task is retried only if its endpoint
+ * certainly did not start it. The job is answered once, for all its tasks
+ * together. For each task the answer is "ran", "not run" or "unknown", which is
+ * true when it is given and stays true.
  *
- * Mutants, each of which spin must refute (tests/test_spec.py):
- *  -DRETRY_LOST  a task whose reply was lost is sent again;
- *  -DGUESS       a task in flight is answered "not run";
- *  -DPARTIAL     the job is complete when any task is.
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
+ *  -DRETRY_LOST  a task whose reply was lost is retried;
+ *  -DGUESS       a task in flight is reported as "not run";
+ *  -DPARTIAL     the job counts as complete once any task is.
  */
 
 #define NT 2
@@ -75,7 +76,7 @@
   :: atomic { task[0] == FAILED || task[1] == FAILED ||
        task[0] == LOST || task[1] == LOST -> answer(false) }
   :: atomic { answer(false) }                       /* deadline or cancel */
-  :: skip                                           /* the coordinator dies */
+  :: skip                                           /* the coordinator crashes */
   fi
 }
 
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,24 +1,25 @@
 /*
- * The claim protocol of fescueturn: who may start the task of a key.
+ * The claim protocol of fescueturn: which host may start the task of a key.
  *
- * Four entry hosts; host 3 starts outside and may join. One key with one
- * task, submitted twice, at any hosts. The store orders the views (sets of
+ * Four entry hosts; host 3 is not a member at first and may join. One key with
+ * one task, submitted twice, at any hosts. The store orders the views (sets of
  * members); each host sees them late but in order. The key's holders in a
  * view are its two highest-ranked members. One failure at a time: a host
- * crashes, or pauses past its lease, wakes and rejoins; the next failure
- * comes only when the others have synced.
+ * crashes, or pauses for longer than its lease, resumes and rejoins; the next
+ * failure comes only when the others have synced.
  *
  * The protocol checked, as in claims.py, claiming.py and ownership.py:
- *  - a coordinator starts the task only when every holder that still runs
- *    accepted its claim in one view, and one of them is trusted;
- *  - a holder accepts only in its own view, while it may act, and only if it
- *    knows of no other coordinator's claim;
- *  - a host that gains the key is trusted once it has fetched the claims of
- *    every other member, and of members gone from its view, if they answer.
+ *  - a coordinator starts the task only if every holder that is still running
+ *    accepted its claim in one view, and at least one of them is trusted;
+ *  - a holder accepts a claim only in its own view, while its lease is valid and
+ *    it is not fenced, and only if it knows no other coordinator's claim;
+ *  - a host that becomes a holder of the key is trusted (to know every earlier
+ *    claim) once it has fetched the claims of every other member, and of the
+ *    members that left its view, if they answer.
  *
- * Mutants, each of which spin must refute (tests/test_spec.py):
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
  *  -DNO_CLAIM   the coordinator starts without asking the holders;
- *  -DNO_SYNC    a new holder vouches at once;
+ *  -DNO_SYNC    a new holder is trusted at once;
  *  -DONE_HOLDER the coordinator asks only the first holder.
  */
 
@@ -47,11 +48,11 @@
 
 byte view[HOSTS];     /* index of the view each host sees */
 byte claims[HOSTS];   /* coordinators whose claim each host knows */
-byte trusted = 0;     /* set of hosts that vouch for the key */
-byte leased = 15;     /* set of hosts whose lease holds by their own clock */
+byte trusted = 0;     /* set of hosts trusted to know every claim of the key */
+byte leased = 15;     /* set of hosts whose lease is valid by their own clock */
 byte fenced[HOSTS];   /* 1 + the view in which a host stopped acting */
-byte awaiting[HOSTS]; /* hosts a sync still waits for */
-byte departed[HOSTS]; /* members gone from a host's view without word */
+byte awaiting[HOSTS]; /* hosts that a sync still waits for */
+byte departed[HOSTS]; /* former members that have not answered a host's sync */
 
 byte phase[HOSTS];
 byte round_view[HOSTS];
@@ -100,7 +101,7 @@
   fi
 }
 
-/* What one host of a sync gives, if it is ready. */
+/* Host h fetches the claims of host m in its sync, if m is ready. */
 inline fetch(h, m) {
   if
   :: !HAS(awaiting[h], m)
@@ -113,7 +114,7 @@
        fi;
        answered(h, m)
   :: HAS(awaiting[h], m) && HAS(asleep, m) && HAS(departed[h], m) ->
-       answered(h, m)                      /* its grace is over */
+       answered(h, m)                      /* its grace period has ended */
   :: HAS(awaiting[h], m) && RUNS(m) && !HAS(departed[h], m) &&
        view[m] == view[h] ->
        claims[h] = claims[h] | claims[m];
@@ -178,7 +179,7 @@
 #endif
      }
 
-  /* Claim at one holder. */
+  /* Ask one holder to accept the claim. */
   :: atomic { MAY_ASK(h, 0) -> ask(h, 0) }
   :: atomic { MAY_ASK(h, 1) -> ask(h, 1) }
   :: atomic { MAY_ASK(h, 2) -> ask(h, 2) }
@@ -194,7 +195,7 @@
        fi
      }
 
-  /* Send the task; or give up first and answer "not run", which is true. */
+  /* Start the task; or give up before that and answer "not run" truthfully. */
   :: atomic { RUNS(h) && phase[h] == DECIDED -> starts++; phase[h] = ENDED;
        assert(starts <= 1) }
   :: atomic { RUNS(h) && phase[h] == DECIDED -> assert(starts == 0);
@@ -221,7 +222,7 @@
   fi
 }
 
-/* The store, and what fails. */
+/* The store, the failures and the membership changes. */
 active proctype World() {
   byte h = 0;
   atomic {
@@ -234,18 +235,18 @@
   :: atomic { JOINS && !HAS(hist[latest], 3) && !HAS(crashed | asleep, 3) &&
        HAS(leased, 3) && latest < VIEWS - 1 ->
        next_view(hist[latest] | 8) }
-  /* A host crashes, or pauses past its lease. */
+  /* A host crashes, or pauses for longer than its lease. */
   :: atomic { MAY_FAIL(0) -> fail(0) }
   :: atomic { MAY_FAIL(1) -> fail(1) }
   :: atomic { MAY_FAIL(2) -> fail(2) }
   :: atomic { MAY_FAIL(3) -> fail(3) }
-  /* The store drops a failed host. */
+  /* The store removes a failed host. */
   :: atomic {
        (hist[latest] & (crashed | asleep)) != 0 && latest < VIEWS - 1 ->
        leased = leased & ~(hist[latest] & (crashed | asleep));
        next_view(hist[latest] & ~(crashed | asleep))
      }
-  /* A paused host wakes, and joins again later. */
+  /* A paused host resumes, and rejoins later. */
   :: atomic { asleep != 0 && (hist[latest] & asleep) == 0 -> asleep = 0 }
   :: atomic {
        asleep == 0 && (7 & ~hist[latest] & ~crashed & ~leased) != 0 &&
--- a/spec/kept.pml
+++ b/spec/kept.pml
@@ -1,17 +1,19 @@
-/* One kept job of two tasks: its record in the store, and two holders in turn.
+/* One kept job of two tasks: its record in the store, and two successive holders.
  *
- * A holder writes the record before it accepts the job, and each end of a task
- * into it before it lets the endpoint forget that end. A write depends on the
- * holder's claim and on the write before; a new holder takes the head over
- * before it reads the record. Any write may lose its answer, or be carried out
- * late, after it was made again; a holder may die or be replaced at any point.
- * That endpoints obey one holder at a time is shards.pml's part.
+ * A holder writes the record before it accepts the job. It writes the result of
+ * each run into the record before it acknowledges the result to the endpoint,
+ * which then forgets it. A write is conditional on the holder's claim and on the
+ * previous write; a new holder writes the head record before it reads the job's
+ * record. Any write may lose its answer, or take effect late, after it was
+ * retried; a holder may crash or be replaced at any point. shards.pml checks
+ * that endpoints obey one holder at a time.
  *
- * Mutants (tests/test_spec.py): NO_HEAD has writes depend on the claim alone;
- * READ_FIRST has them depend on the head alone, and a new holder read the record
- * before it takes the head over;
- * FORGET_FIRST lets an endpoint forget an end before it is written;
- * ACCEPT_FIRST accepts the job before it is written.
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
+ *  -DNO_HEAD       writes are conditional on the claim alone;
+ *  -DREAD_FIRST    writes are conditional on the head record alone, and a new
+ *                  holder reads the record before it writes the head record;
+ *  -DFORGET_FIRST  an endpoint may forget a result before it is written;
+ *  -DACCEPT_FIRST  the job is accepted before it is written.
  */
 
 #define NOTHING 0
@@ -20,22 +22,22 @@
 
 #define IDLE 0
 #define RUNNING 1
-#define ENDED 2            /* the endpoint lists the end */
+#define ENDED 2            /* the endpoint reports the run as ended */
 
 byte record = NOTHING;
-byte claim = 1;            /* the holder's fence number by the store */
-byte head = 1;             /* the last write's revision, who made it, which */
+byte claim = 1;            /* the holder's fencing token according to the store */
+byte head = 1;             /* the last write: its revision, fencing token, number */
 byte head_fence = 1;
 byte head_number = 0;
 
 byte task[2] = IDLE;        /* the tasks' runs at the endpoint */
-byte obeys = 1;            /* the highest fence number it has seen */
-bool forgotten[2];         /* a run's end as done was forgotten there */
-bool accepted = false;     /* the caller was told so */
+byte obeys = 1;            /* the highest fencing token the endpoint has seen */
+bool forgotten[2];         /* the endpoint has forgotten the task's result */
+bool accepted = false;     /* the caller got the answer that the job is accepted */
 
-/* Writes that are carried out late. */
+/* Writes that take effect late. */
 chan late = [MAX_LATE] of { byte, byte, byte, byte };
-byte slow = 0;             /* how many there were */
+byte slow = 0;             /* number of writes that got no answer */
 
 #ifdef NO_HEAD
 #define TURN(f, a) (claim == f)
@@ -53,7 +55,8 @@
   fi
 }
 
-/* Writes until it is known what came of it; `ok` is false once replaced. */
+/* Retries a write until its result is known; `ok` is false if this holder has
+ * been replaced. */
 inline write(value) {
   number++;
   do
@@ -63,9 +66,9 @@
        if :: ok -> after = head :: else -> skip fi;
        break
      }
-  :: atomic { slow < MAX_LATE ->  /* no answer: made again */
+  :: atomic { slow < MAX_LATE ->  /* no answer: retried */
        late!fence, number, after, value; slow++ }
-  :: atomic { slow < MAX_LATE ->  /* carried out, and the answer lost */
+  :: atomic { slow < MAX_LATE ->  /* carried out, but the answer is lost */
        carry_out(fence, number, after, value); slow++ }
   od
 }
@@ -162,7 +165,7 @@
      note_end(1)
   :: seen == OPEN + 3 -> break
   :: obeys != fence -> break
-  :: second == false -> break      /* it dies */
+  :: second == false -> break      /* it crashes */
   od;
 over:
   skip
--- a/spec/losses.pml
+++ b/spec/losses.pml
@@ -1,23 +1,26 @@
 /*
- * Endpoints lost under one task of a kept job, while holders of its shard die.
+ * Endpoints lost while they run one task of a kept job, as its holders crash.
  *
- * The task crashes every endpoint that starts it, or (sound) its endpoints are
- * only cut off for a while. A holder notes the loss when the lease is over, and
- * stores it before the next start; it learns later whether the endpoint crashed.
- * Up to three holders are killed, at any moment; the next one knows what is stored.
+ * The task either crashes every endpoint that starts it, or is sound and its
+ * endpoints are only cut off for a while. A holder counts the loss when the
+ * endpoint's lease has expired, and stores it before the next start; it learns
+ * later whether the endpoint crashed. Up to three holders are killed, at any
+ * moment; the next holder knows only what is stored.
  *
- * The protocol checked, as in crashes.py: with three losses, or two for a job
- * that an earlier holder had, the task starts no more; it is given up once two
- * of them have surely crashed. Left out: a loss that stays in doubt for
- * 15 s is forgotten, and a first loss does not wait for a store that is away.
+ * The protocol checked, as in crashes.py: after three losses, or two for a job
+ * taken over from an earlier holder, the task isn't started. It is given up once
+ * two of the losses are confirmed as crashes. Not modelled: a loss that stays
+ * unconfirmed for 15 s is forgotten, and a first loss does not wait for a store
+ * that is unavailable.
  *
- * Promised: five starts at the most, and a sound task is never given up.
+ * Properties: at most five starts, and a sound task is never given up.
  *
- * Mutants, each of which spin must refute (tests/test_spec.py):
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
  *  -DNO_STORE    losses are not stored;
- *  -DNO_HOLD     the task goes on starting while losses are in doubt;
- *  -DSAME_LIMIT  a job that an earlier holder had may lose as many as any;
- *  -DCOUNT_CUTS  a loss counts as a crash at once.
+ *  -DNO_HOLD     the task is still started while losses are unconfirmed;
+ *  -DSAME_LIMIT  a job taken over from an earlier holder may lose as many
+ *                endpoints as any other;
+ *  -DCOUNT_CUTS  a loss counts as a confirmed crash at once.
  */
 
 #define KILLS 3
@@ -26,14 +29,14 @@
 
 bool sound;
 bool running = false;
-bool unnoticed = false;      /* the endpoint is lost, the holder doesn't know */
+bool unnoticed = false;      /* the endpoint is lost; the holder doesn't know yet */
 bool unsaved = false;
 bool resumed = false;
 bool given_up = false;
 byte starts = 0;
 byte kills = 0;
-byte here = 0;               /* losses in doubt that this holder can settle */
-byte before = 0;             /* losses in doubt of earlier holders */
+byte here = 0;               /* unconfirmed losses that this holder has counted */
+byte before = 0;             /* unconfirmed losses that earlier holders have stored */
 byte crashed = 0;
 byte stored_doubts = 0;
 byte stored_crashed = 0;
@@ -60,7 +63,7 @@
   :: sound = true
   :: sound = false
   fi;
-end:  /* Losses of dead holders stay in doubt: waiting is allowed. */
+end:  /* Earlier holders' losses may stay unconfirmed: the task may wait. */
   do
   :: atomic { !given_up && !running && !unnoticed && MAY_START ->
        assert(starts < MOST_STARTS || sound);
@@ -79,7 +82,7 @@
      }
   :: atomic { here > 0 && !sound -> here--; crashed++; unsaved = true }
   :: atomic { before > 0 && !sound -> before--; crashed++; unsaved = true }
-  :: atomic { here > 0 && sound -> here--; unsaved = true }    /* it lives */
+  :: atomic { here > 0 && sound -> here--; unsaved = true }    /* the endpoint is alive */
   :: atomic { kills < KILLS && !given_up -> kills++;
        running = false; unnoticed = false; unsaved = false;
        here = 0; before = stored_doubts; crashed = stored_crashed;
--- a/spec/moves.pml
+++ b/spec/moves.pml
@@ -1,26 +1,29 @@
 /* One kept job of one task, two data centres, and evacuations at any time.
  *
- * The holder of an evacuated data centre starts nothing; once nothing of the job
- * runs there it writes the job over to the other data centre's records. That
- * write depends on its claim and on its write before; it may lose its answer, or
- * be carried out late. Each holder reads its own records now and then, takes up
- * what it doesn't know, and leaves out what it moved away since that reading
- * began. The first holder of data centre 0 may be replaced at any point; that
- * endpoints obey one holder at a time is shards.pml's part.
+ * The holder of an evacuated data centre starts nothing; once none of the job's
+ * runs is left there, it moves the job to the other data centre's records. The
+ * move is conditional on the holder's claim and on its previous write; it may
+ * lose its answer, or take effect late. Each holder reads its own records from
+ * time to time and adopts the jobs that it does not know, except those that it
+ * has moved away since that read began. The first holder of data centre 0 may be
+ * replaced at any point. shards.pml checks that endpoints obey one holder at a
+ * time.
  *
- * Mutants (tests/test_spec.py): NO_HEAD has a move depend on nothing;
- * MOVE_RUNNING moves a job that runs; STALE_LIST takes up what was moved away
- * since the reading began; GUESS goes on with a job whose move got no answer.
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
+ *  -DNO_HEAD       a move is unconditional;
+ *  -DMOVE_RUNNING  a job is moved while it runs;
+ *  -DSTALE_LIST    a job that was moved away since the read began is adopted;
+ *  -DGUESS         a holder continues with a job whose move got no answer.
  */
 
 #define MAX_LATE 2
 #define MAX_MOVES 2
 
-byte place = 0;            /* whose records have the job */
+byte place = 0;            /* the data centre whose records contain the job */
 byte head[2] = 1;          /* the revision of the last write to the records */
-byte claim[2] = 1;         /* the holder's fence number by the store */
-byte obeys[2] = 1;         /* the highest fence number the endpoints have seen */
-bool running[2];           /* the task's run at the data centre's endpoints */
+byte claim[2] = 1;         /* the holder's fencing token according to the store */
+byte obeys[2] = 1;         /* the highest fencing token the endpoints have seen */
+bool running[2];           /* the task runs at the data centre's endpoints */
 bool evacuated[2];
 byte slow = 0;
 byte moves = 0;
@@ -69,7 +72,7 @@
   od
 }
 
-/* Moves the job until it is known what came of it. */
+/* Retries the move until its result is known. */
 inline move() {
   moving = true;
   do
@@ -79,7 +82,7 @@
           place = 1 - s; head[s]++; after = head[s];
           has = false; moved = true; moving = false
        :: claim[s] == fence && head[s] != after ->
-          /* An earlier try took effect, and its answer was lost. */
+          /* An earlier attempt took effect, and its answer was lost. */
           after = head[s]; has = false; moved = true; moving = false
        :: else -> skip
        fi;
@@ -106,7 +109,7 @@
   bool has = false, listed = false, reads = false, moved = false;
   bool moving = false;
   atomic {
-    /* It takes the records over, then reads them. */
+    /* The holder takes the records over, then reads them. */
     claim[s] = fence; obeys[s] = fence;
     if :: fence > 1 -> head[s]++ :: else -> skip fi;
     after = head[s]
--- a/spec/settings.pml
+++ b/spec/settings.pml
@@ -1,11 +1,11 @@
 /*
- * A team's settings: racing operators, lost replies, late and repeated reads.
+ * A team's settings: concurrent operators, lost replies, late and repeated reads.
  *
- * Two operators put by compare-and-swap on the revision they read; a reply
- * may be lost after the write applied, and the operator then reads back. Two
+ * Two operators write by compare-and-swap on the revision that they read; a reply
+ * may be lost after the write was applied, and the operator then reads back. Two
  * entry hosts learn revisions from watches and fresh reads, in any order.
  *
- * Mutants, each of which spin must refute (tests/test_spec.py):
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
  *  -DNO_CAS        a put overwrites whatever is there;
  *  -DNO_MONOTONIC  an entry host applies whatever revision arrives.
  */
@@ -16,7 +16,7 @@
 byte revision = 0;          /* the store's revision of the key */
 byte writer = 0;            /* 1 + the operator whose text is stored */
 byte read_at[OPERATORS];    /* the revision each operator saw */
-byte accepted[OPERATORS];   /* the revision each was told is its own, or 0 */
+byte accepted[OPERATORS];   /* the revision that each knows its write to have, or 0 */
 byte base_of[4];            /* by revision: the revision it replaced */
 byte applied[HOSTS];
 byte highest[HOSTS];
@@ -32,7 +32,7 @@
        revision == read_at[o] ->
 #endif
        revision++; writer = o + 1; base_of[revision] = read_at[o];
-       assert(base_of[revision] == revision - 1)   /* nobody is overwritten */
+       assert(base_of[revision] == revision - 1)   /* no other write is lost */
      };
      if
      :: accepted[o] = read_at[o] + 1; break        /* the reply arrived */
@@ -45,7 +45,7 @@
         break
      fi
 #ifndef NO_CAS
-  :: atomic { revision != read_at[o] -> break }    /* conflict: told so */
+  :: atomic { revision != read_at[o] -> break }    /* conflict reported */
 #endif
   od
 }
--- a/spec/shards.pml
+++ b/spec/shards.pml
@@ -1,24 +1,29 @@
 /* A shard's holders, its endpoints, and one task of a job.
  *
- * The task must never have two runs at a time, though a holder may stand still
- * at any point, orders without an answer are carried out late, the holder is
- * replaced while it lives, and the caller sends its job again through another
- * shard once its coordinator is dead.
+ * The task must never have two runs at a time, although a holder may freeze at
+ * any point, unanswered orders are carried out late, a holder is replaced while
+ * it is alive, and the caller resubmits its job through another shard after its
+ * coordinator has crashed.
  *
  * One step of time is 0.1 s. A lease lasts LEASE steps (800 ms and a margin of
- * 40); a coordinator's silence is noticed after SILENCE (350 ms and 50 after a
- * pause); a replaced holder learns of it within FENCED (its next lease call); a
- * caller comes back after RESEND at the earliest (1,300 ms).
+ * 40); a silent coordinator is detected after SILENCE (350 ms, and 50 after a
+ * pause); a replaced holder learns that it is replaced within FENCED (from its
+ * next lease call); a caller resubmits after RESEND at the earliest (1,300 ms).
  *
- * Mutants (tests/test_spec.py): NO_FENCE has endpoints take any order;
- * NO_SETTLE has a new holder start the task before an earlier one's runs are
- * over; NO_SILENCE has holders renew for a coordinator that is dead; NO_STOP
- * gives the task of an unanswered order to another run without stopping the
- * first; LONG_LEASE asks for the longest lease allowed (1,000 ms); ANY_TOLD has
- * a new holder take a roster for asked when one of its endpoints has told.
+ * Mutants, in each of which spin must find a violation (tests/test_spec.py):
+ *  -DNO_FENCE    endpoints accept any order;
+ *  -DNO_SETTLE   a new holder starts the task before the runs of an earlier
+ *                holder have ended;
+ *  -DNO_SILENCE  holders renew the leases of a crashed coordinator's runs;
+ *  -DNO_STOP     the task of an unanswered order gets another run although the
+ *                first has not been stopped;
+ *  -DLONG_LEASE  leases have the maximum allowed duration (1,000 ms);
+ *  -DANY_TOLD    a new holder treats its whole roster as queried once one of the
+ *                endpoints has answered.
  *
- * Both endpoints are in every roster here. What keeps one without an endpoint
- * from being used (its age, the wait of an endpoint that joins) is not modelled.
+ * Both endpoints are in every roster here. The rules that exclude a roster that
+ * lacks an endpoint (its maximum age, the delay of an endpoint that joins) are
+ * not modelled.
  */
 
 #ifdef LONG_LEASE
@@ -32,30 +37,30 @@
 #define SETTLE 15
 #define NONE 2
 
-byte fence[2];            /* the highest fence number an endpoint has seen */
-byte lease[2];            /* steps until all that runs there is killed */
-bool running[2];          /* the task's run */
-bool barred[2];           /* a stop came before the order in flight */
-byte order[2];            /* fence of an order in flight; 0: none */
+byte fence[2];            /* the highest fencing token an endpoint has seen */
+byte lease[2];            /* steps until the endpoint kills its runs */
+bool running[2];          /* the task runs there */
+bool barred[2];           /* a stop arrived before the order in flight */
+byte order[2];            /* fencing token of an order in flight; 0: none */
 byte order_left[2];       /* steps until that order's deadline */
 
-byte holder = 1;          /* fence of the holder by the store */
-byte placed = NONE;       /* the endpoint that it has the task on */
-bool knows[2];            /* it has asked what runs there */
+byte holder = 1;          /* fencing token of the holder according to the store */
+byte placed = NONE;       /* the endpoint where it has placed the task */
+bool knows[2];            /* the holder has queried the endpoint's runs */
 byte since = SETTLE;      /* steps since it took the shard over */
-byte old_holder = 0;      /* the one before it, which may live on */
+byte old_holder = 0;      /* the previous holder, which may still be alive */
 byte old_placed = NONE;
-bool old_settled = true;  /* its own takeover was over when it was replaced */
-bool told = false;        /* the new holder has the old one's roster: both */
+bool old_settled = true;  /* its takeover was complete when it was replaced */
+bool told = false;        /* the new holder has the old one's roster */
 
-bool wanted = true;       /* the task is not done, nor given up */
-bool alive = true;        /* the coordinator */
-byte silent = 0;          /* steps since it died */
+bool wanted = true;       /* the task is neither done nor given up */
+bool alive = true;        /* the coordinator is alive */
+byte silent = 0;          /* steps since it crashed */
 byte takeovers = 0;
 
 #define HEARD (alive || silent < SILENCE)
 
-/* The holder before it surely has nothing that runs unknown to this one. */
+/* The previous holder certainly has no run that this holder does not know. */
 #ifdef ANY_TOLD
 #define ASKED (told && (knows[0] || knows[1]))
 #else
@@ -156,14 +161,15 @@
         fi
       fi;
       order[1] = 0 }
-  /* An order got no answer: stopped, and the stop acknowledged, or given up. */
+  /* An order got no answer: the run is stopped and the stop acknowledged, or the
+     order is given up. */
   :: atomic { placed != NONE && order[placed] == holder && !running[placed] ->
 #ifndef NO_STOP
       barred[placed] = true;
 #endif
       order[1 - placed] = 0;
       placed = NONE }
-  /* The run ends well. */
+  /* The run succeeds. */
   :: atomic { placed != NONE && running[placed] ->
       running[placed] = false; wanted = false; placed = NONE }
   /* Another host takes the shard over. */
@@ -180,8 +186,8 @@
   :: atomic { !knows[0] -> ask(0) }
   :: atomic { !knows[1] -> ask(1) }
   /* The replaced holder starts the task that it had not started: before it
-     learns that it is replaced, or, if it stood still, on waking up, where the
-     endpoint's fence must stop it. */
+     learns that it is replaced, or when it resumes after a freeze; then the
+     fencing token at the endpoint must reject the order. */
   :: atomic { old_holder > 0 && old_placed == NONE && old_settled && wanted &&
       alive && placed == NONE && !running[0] && !running[1] &&
       (since <= FENCED || knows[0] || knows[1]) ->
@@ -197,12 +203,12 @@
       :: else ->
         running[e] = true; lease[e] = LEASE; fence[e] = old_holder
       fi }
-  /* The coordinator dies, and its caller comes back elsewhere. */
+  /* The coordinator crashes, and its caller resubmits through another shard. */
   :: atomic { alive && wanted -> alive = false }
   :: atomic { !alive && silent >= RESEND ->
       assert(!running[0] && !running[1]);
       break }
-  /* Time passes. Either holder may stand still meanwhile. */
+  /* Time passes. Either holder may be frozen meanwhile. */
   :: atomic { silent < RESEND ->
       if
       :: placed == NONE -> skip
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -109,6 +109,7 @@
     return call(self.readiness_port, "GET", "/-/readyz")[0].status == 200
 
   def owns(self) -> bool:
+    """Returns whether it owns a shard and knows all endpoints' runs."""
     _, dump = call(self.metrics_port, "GET", "/dump")
     owned = dump["scheduler"]["owned"]
     return bool(owned) and all(
--- a/tests/fakeplatform.py
+++ b/tests/fakeplatform.py
@@ -44,14 +44,14 @@
     self.pending = []
 
   async def run(self):
-    async def later(delay_s, action):
+    async def run_later(delay_s, action):
       await curio.sleep(delay_s)
       action()
 
     while True:
       pending, self.pending = self.pending, []
       for delay_s, action in pending:
-        await curio.spawn(later, min(delay_s, 60.0), action, daemon=True)
+        await curio.spawn(run_later, min(delay_s, 60.0), action, daemon=True)
       await curio.sleep(0.002)
 
 
@@ -149,7 +149,7 @@
     )
 
 
-def _work(specs, task):
+def _task_profile(specs, task):
   spec = specs[task]
   need = model.Resources(spec.get("cpu", 27000), 64, 0)
   return endpoint_lib.TaskProfile(need, spec["run_s"], spec.get("fails", False))
@@ -161,7 +161,13 @@
   clock = RealClock()
   store = kvstore.KvStore()
   wire = wireserver.WireServer(store, time.monotonic)
-  specs, violations, live_runs, noted_done, emulated = {}, [], {}, set(), []
+  specs, violations, running_on, acknowledged_done, emulated = (
+      {},
+      [],
+      {},
+      set(),
+      [],
+  )
 
   async def report(request):
     del request
@@ -201,10 +207,10 @@
     endpoint = endpoint_lib.EmulatedEndpoint(
         info,
         clock,
-        functools.partial(_work, specs),
+        functools.partial(_task_profile, specs),
         violations,
-        live_runs,
-        noted_done,
+        running_on,
+        acknowledged_done,
     )
     emulated.append(endpoint)
     fake = FakeEndpoint(endpoint, specs)
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -31,12 +31,12 @@
 CONVERGENCE_S = 3.0
 
 
-def value(version, routes=(ROUTE,)) -> bytes:
+def encode_config(version, routes=(ROUTE,)) -> bytes:
   return json.dumps({"version": version, "routes": list(routes)}).encode()
 
 
 class FakeClient:
-  """A store at revision 100 that knows its history since revision 90."""
+  """A store at revision 100 that has its history since revision 90."""
 
   def __init__(self):
     self.calls = []
@@ -46,7 +46,7 @@
 
   async def range(self, prefix):
     self.calls.append(("range", prefix))
-    item = kvtypes.Item(configuration.CONFIG_KEY, 2, value(1))
+    item = kvtypes.Item(configuration.CONFIG_KEY, 2, encode_config(1))
     return kvtypes.Changes(100, (item, *self.requests))
 
   async def watch(self, prefix, after, wait_ms):
@@ -61,10 +61,10 @@
 
 def watch_both(client, seconds: float):
   """Returns the reported configurations and evacuations."""
-  found, evacuated = [], []
+  configs, evacuated = [], []
 
   async def on_config(config):
-    found.append(config)
+    configs.append(config)
 
   async def on_evacuations(event):
     evacuated.append({e.data_centre: e.revision for e in event.evacuations})
@@ -82,18 +82,18 @@
     )
 
   curio.run(run)
-  return found, evacuated
+  return configs, evacuated
 
 
-def watch_for(client, seconds: float) -> list[model.Config]:
+def watch_configs(client, seconds: float) -> list[model.Config]:
   return watch_both(client, seconds)[0]
 
 
 def test_watch_continues_from_the_stores_revision_not_the_items():
   """The configuration may be older than the history that the store keeps."""
   client = FakeClient()
-  found = watch_for(client, 0.3)
-  assert [c.version for c in found] == [1]
+  configs = watch_configs(client, 0.3)
+  assert [c.version for c in configs] == [1]
   assert [c for c in client.calls if c[0] == "range"] == [("range", "op/")]
   assert client.calls[1] == ("watch", 100)
 
@@ -103,9 +103,9 @@
   key = configuration.CONFIG_KEY
   client.changes = [
       kvtypes.Changes(101, (kvtypes.Item(key, 101, b"{"),)),
-      kvtypes.Changes(102, (kvtypes.Item(key, 102, value(5)),)),
+      kvtypes.Changes(102, (kvtypes.Item(key, 102, encode_config(5)),)),
   ]
-  assert [c.version for c in watch_for(client, 0.3)] == [1, 5]
+  assert [c.version for c in watch_configs(client, 0.3)] == [1, 5]
 
 
 def test_only_the_newest_configuration_of_one_answer_is_reported():
@@ -114,33 +114,36 @@
   key = configuration.CONFIG_KEY
   client.changes = [
       kvtypes.Changes(
-          109, tuple(kvtypes.Item(key, 100 + n, value(n)) for n in range(2, 9))
+          109,
+          tuple(
+              kvtypes.Item(key, 100 + n, encode_config(n)) for n in range(2, 9)
+          ),
       ),
       kvtypes.Changes(
           111,
           (
-              kvtypes.Item(key, 110, value(10)),
+              kvtypes.Item(key, 110, encode_config(10)),
               kvtypes.Item(key, 111, b"{"),
           ),
       ),
   ]
-  assert [c.version for c in watch_for(client, 0.3)] == [1, 8, 10]
+  assert [c.version for c in watch_configs(client, 0.3)] == [1, 8, 10]
 
 
 def test_store_without_history_is_not_polled_in_a_tight_loop():
   client = FakeClient()
 
-  async def gone(prefix, after, wait_ms):
+  async def drop_history(prefix, after, wait_ms):
     client.calls.append(("watch", after))
     raise kvtypes.HistoryGoneError("gone")
 
-  client.watch = gone
-  watch_for(client, 1.0)
+  client.watch = drop_history
+  watch_configs(client, 1.0)
   assert len(client.calls) < 12
 
 
 def test_decoding_error_names_the_invalid_field():
-  config = configuration.decode(value(7))
+  config = configuration.decode(encode_config(7))
   (queue,) = config.queues
   assert (queue.host, queue.prefix, queue.attempts) == (
       "jobs.example",
@@ -150,23 +153,23 @@
   with pytest.raises(errors.SettingsError, match="version"):
     configuration.decode(b'{"routes": []}')
   with pytest.raises(errors.SettingsError, match="prefix"):
-    configuration.decode(value(7, ({"name": "r", "host": "h"},)))
+    configuration.decode(encode_config(7, ({"name": "r", "host": "h"},)))
 
 
 @pytest.mark.parametrize("advice", [True, {"decisionMs": 30}, "10.0.0.1:80"])
 def test_any_form_of_policy_marks_its_queue(advice):
   route = {"name": "r", "host": "h", "prefix": "/a/", "service": "s"}
   (queue,) = configuration.decode(
-      value(7, ({**route, "advice": advice},))
+      encode_config(7, ({**route, "advice": advice},))
   ).queues
   assert queue.needs_advice
 
 
 def test_store_items_are_decoded_from_the_wire():
   raw = {"key": "k", "revision": 3, "value": base64.b64encode(b"x").decode()}
-  gone = {"key": "k", "revision": 4, "tombstone": True}
+  removed = {"key": "k", "revision": 4, "tombstone": True}
   unreadable = {"key": "k", "revision": 5, "value": "x"}
-  body = json.dumps({"currentRev": 5, "events": [raw, gone, unreadable]})
+  body = json.dumps({"currentRev": 5, "events": [raw, removed, unreadable]})
   reply = wire.decode(wire.watch_replies, body, "watch", errors.KvError)
   assert [store._decode_item(event) for event in reply.events] == [
       kvtypes.Item("k", 3, b"x"),
@@ -185,7 +188,7 @@
   client.changes = [
       kvtypes.Changes(101, (evacuation_request("south", 101),)),
       kvtypes.Changes(
-          102, (kvtypes.Item(configuration.CONFIG_KEY, 102, value(2)),)
+          102, (kvtypes.Item(configuration.CONFIG_KEY, 102, encode_config(2)),)
       ),
       kvtypes.Changes(103, (evacuation_request("north", 103, None),)),
   ]
@@ -218,10 +221,10 @@
   """A host that can't read the requests must not assume that there are none."""
   client = FakeClient()
 
-  async def away(prefix):
+  async def fail(prefix):
     raise errors.KvError(prefix)
 
-  client.range = away
+  client.range = fail
   assert watch_both(client, 0.5) == ([], [])
 
 
@@ -264,7 +267,7 @@
     await self.put(1)
 
   async def put(self, version):
-    self._store.put(configuration.CONFIG_KEY, value(version))
+    self._store.put(configuration.CONFIG_KEY, encode_config(version))
     await self._wire.notify_watches()
 
   async def close(self):
@@ -300,24 +303,24 @@
   outage_store.begin_outage()
   await curio.sleep(outage_s)
   outage_store.end_outage()
-  ended = time.monotonic()
+  outage_end = time.monotonic()
   await outage_store.put(2)
   while 2 not in in_force:
     await curio.sleep(0.01)
   await watch.cancel()
   await client.close()
   await outage_store.close()
-  return in_force[2] - ended
+  return in_force[2] - outage_end
 
 
 def test_change_is_in_force_in_time_after_an_outage_of_any_length():
-  free = ports.free_ports(len(OUTAGES_S))
+  free_ports = ports.free_ports(len(OUTAGES_S))
 
   async def run():
     async with curio.TaskGroup() as group:
       tasks = [
           await group.spawn(measure_convergence, port, outage_s)
-          for port, outage_s in zip(free, OUTAGES_S, strict=True)
+          for port, outage_s in zip(free_ports, OUTAGES_S, strict=True)
       ]
     return [task.result for task in tasks]
 
@@ -329,10 +332,10 @@
 
 def test_configuration_does_not_wait_for_evacuations_in_the_same_answer():
   """The handler of evacuations may be slow or block."""
-  found = []
+  versions = []
 
   async def on_config(config):
-    found.append(config.version)
+    versions.append(config.version)
 
   async def block(event):
     del event
@@ -349,4 +352,4 @@
       block,
       lambda: None,
   )
-  assert found == [1]
+  assert versions == [1]
--- a/tests/test_platform_endpoints.py
+++ b/tests/test_platform_endpoints.py
@@ -112,19 +112,21 @@
 
 @pytest.mark.parametrize("name", BAD_ENTRIES)
 def test_known_endpoint_with_an_invalid_entry_is_kept_as_draining(name):
-  known = endpoints.EndpointList()
-  before = known.update((item("i-1"), item("i-2")), 0.0)[1]
+  endpoint_list = endpoints.EndpointList()
+  before = endpoint_list.update((item("i-1"), item("i-2")), 0.0)[1]
   bad = kvtypes.Item(endpoints.PREFIX + "i-2", 6, BAD_ENTRIES[name])
   for now in (1.0, 9.0):
-    kept = known.update((item("i-1"), bad), now)
+    kept = endpoint_list.update((item("i-1"), bad), now)
     assert kept[1] == dataclasses.replace(before, draining=True)
-  assert known.update((item("i-1"), item("i-2")), 9.5)[1] == before
+  assert endpoint_list.update((item("i-1"), item("i-2")), 9.5)[1] == before
 
 
 def test_endpoint_of_an_unconfigured_service_is_not_used():
   reader = endpoints.EntryReader(lambda service: service == "speller")
-  known = endpoints.EndpointList(reader)
-  listed = known.update((item("i-1"), item("i-2", service="other")), 0.0)
+  endpoint_list = endpoints.EndpointList(reader)
+  listed = endpoint_list.update(
+      (item("i-1"), item("i-2", service="other")), 0.0
+  )
   assert [e.id for e in listed] == ["i-1"]
 
 
@@ -133,9 +135,11 @@
 
   Guards against looking for its runs at the address of another endpoint.
   """
-  known = endpoints.EndpointList()
-  before = known.update((item("i-1"),), 0.0)[0]
-  after = known.update((item("i-1", address="10.128.0.10:8080"),), 1.0)[0]
+  endpoint_list = endpoints.EndpointList()
+  before = endpoint_list.update((item("i-1"),), 0.0)[0]
+  after = endpoint_list.update((item("i-1", address="10.128.0.10:8080"),), 1.0)[
+      0
+  ]
   assert after == dataclasses.replace(before, draining=True)
 
 
@@ -151,20 +155,20 @@
 
 def test_endpoint_with_a_missing_entry_is_kept_for_the_grace_period():
   """Entries that expire in an outage of the store are back within 2 s."""
-  known = endpoints.EndpointList()
-  known.update((item("i-1"), item("i-2")), 10.0)
+  endpoint_list = endpoints.EndpointList()
+  endpoint_list.update((item("i-1"), item("i-2")), 10.0)
   names = lambda listed: sorted(e.id for e in listed)  # noqa: E731
-  assert names(known.update((item("i-1"),), 11.0)) == ["i-1", "i-2"]
-  assert names(known.update((item("i-1"),), 12.0)) == ["i-1", "i-2"]
-  assert names(known.update((item("i-1"),), 13.3)) == ["i-1"]
+  assert names(endpoint_list.update((item("i-1"),), 11.0)) == ["i-1", "i-2"]
+  assert names(endpoint_list.update((item("i-1"),), 12.0)) == ["i-1", "i-2"]
+  assert names(endpoint_list.update((item("i-1"),), 13.3)) == ["i-1"]
 
 
-def test_entry_that_is_back_restarts_the_grace_period():
-  known = endpoints.EndpointList()
-  known.update((item("i-1"),), 10.0)
-  known.update((), 11.0)
-  known.update((item("i-1"),), 12.0)
-  assert [e.id for e in known.update((), 13.5)] == ["i-1"]
+def test_grace_period_restarts_after_an_entry_returns():
+  endpoint_list = endpoints.EndpointList()
+  endpoint_list.update((item("i-1"),), 10.0)
+  endpoint_list.update((), 11.0)
+  endpoint_list.update((item("i-1"),), 12.0)
+  assert [e.id for e in endpoint_list.update((), 13.5)] == ["i-1"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_jobstore.py
+++ b/tests/test_platform_jobstore.py
@@ -1,4 +1,4 @@
-"""Tests of the job store: lost, late and replaced writes."""
+"""Tests of the job store: lost and late writes, and replaced holders."""
 
 import time
 
@@ -33,8 +33,8 @@
 
   async def get(self, key):
     item = self.store.get(key)
-    found = (item,) if item is not None else ()
-    return kvtypes.Changes(self.store.revision, found)
+    items = (item,) if item is not None else ()
+    return kvtypes.Changes(self.store.revision, items)
 
   async def range(self, prefix):
     return kvtypes.Changes(self.store.revision, tuple(self.store.range(prefix)))
@@ -87,7 +87,7 @@
     self.after = written.revision
     return written
 
-  def state(self, job_id) -> jobstore.JobStatus | None:
+  def status(self, job_id) -> jobstore.JobStatus | None:
     return curio.run(self.job_store.get_status, job_id)
 
 
@@ -104,7 +104,9 @@
   second = Holder(memory)
   assert second.loaded.takeovers == 1
   assert second.loaded.jobs == (model.KeptJob(job("k"), progress),)
-  assert second.state("k") == jobstore.JobStatus(model.KeptJobState.OPEN, SHARD)
+  assert second.status("k") == jobstore.JobStatus(
+      model.KeptJobState.OPEN, SHARD
+  )
 
 
 def test_ended_job_leaves_only_its_status_until_it_is_deleted():
@@ -114,11 +116,11 @@
   holder.write(keptevents.StoreProgress("k", model.Progress((TASK,))))
   holder.write(keptevents.StoreEnd("k", model.KeptJobState.DONE))
   assert not [k for k in memory.keys() if "open/" in k or "ends/" in k]
-  assert holder.state("k").state is model.KeptJobState.DONE
-  wanted = keptevents.ListEndedJobs(SHARD, holder.fence)
-  assert curio.run(holder.job_store.list_ended, wanted).job_ids == ("k",)
+  assert holder.status("k").state is model.KeptJobState.DONE
+  effect = keptevents.ListEndedJobs(SHARD, holder.fence)
+  assert curio.run(holder.job_store.list_ended, effect).job_ids == ("k",)
   holder.write(keptevents.DeleteJob("k"))
-  assert holder.state("k") is None
+  assert holder.status("k") is None
 
 
 @pytest.mark.parametrize("faults", (["lost"], ["refused"], ["late", "lost"]))
@@ -128,9 +130,9 @@
   memory.faults = faults
   assert holder.write(keptevents.StoreJob(job("k"))).result is DONE
   assert holder.write(keptevents.StoreJob(job("l"))).result is DONE
-  for wanted in memory.late:
+  for transaction in memory.late:
     with pytest.raises(kvtypes.ConflictError):
-      memory.store.transact(wanted)
+      memory.store.transact(transaction)
 
 
 def test_replaced_holder_cannot_write_and_is_notified():
@@ -140,7 +142,7 @@
   second = Holder(memory)
   ended = keptevents.StoreEnd("k", model.KeptJobState.DONE)
   assert first.write(ended).result is keptevents.WriteResult.REPLACED
-  assert second.state("k").state is model.KeptJobState.OPEN
+  assert second.status("k").state is model.KeptJobState.OPEN
   assert second.write(ended).result is DONE
 
 
@@ -165,7 +167,7 @@
   written = holder.write(*changes)
   assert written.result is keptevents.WriteResult.EXISTS
   assert written.existing == ("k",)
-  assert holder.state("l") is None
+  assert holder.status("l") is None
   assert holder.write(changes[1]).result is DONE
 
 
@@ -188,7 +190,7 @@
   assert key in memory.keys()
 
 
-def move_of(name: str) -> keptevents.MoveJob:
+def make_move(name: str) -> keptevents.MoveJob:
   done = (model.Task(name, 0, 1),)
   kept = model.KeptJob(job(name), model.Progress(done))
   return keptevents.MoveJob(kept, model.Shard("south"))
@@ -205,9 +207,9 @@
   memory = MemoryStore()
   holder = Holder(memory)
   holder.write(keptevents.StoreJob(job("j")))
-  holder.write(move_of("j"))
+  holder.write(make_move("j"))
   assert list_open_jobs(memory, "north") == ()
-  assert list_open_jobs(memory, "south") == (move_of("j").kept,)
+  assert list_open_jobs(memory, "south") == (make_move("j").kept,)
   status = curio.run(holder.job_store.get_status, "j")
   assert status == jobstore.JobStatus(
       model.KeptJobState.OPEN, model.Shard("south")
@@ -220,7 +222,11 @@
   holder.write(keptevents.StoreJob(job("j")))
   late = holder.job_store._transaction(
       keptevents.WriteKeptJobs(
-          SHARD, holder.fence, holder.number + 1, holder.after, (move_of("j"),)
+          SHARD,
+          holder.fence,
+          holder.number + 1,
+          holder.after,
+          (make_move("j"),),
       )
   )
   Holder(memory)
@@ -235,8 +241,8 @@
   holder = Holder(memory)
   holder.write(keptevents.StoreJob(job("j")))
   memory.faults = ["late"]
-  holder.write(move_of("j"))
+  holder.write(make_move("j"))
   (late,) = memory.late
   with pytest.raises(kvtypes.ConflictError):
     memory.store.transact(late)
-  assert list_open_jobs(memory, "south") == (move_of("j").kept,)
+  assert list_open_jobs(memory, "south") == (make_move("j").kept,)
--- a/tests/test_platform_kept.py
+++ b/tests/test_platform_kept.py
@@ -64,7 +64,7 @@
   deployments.wait_for(has_state(other_host, 5), "done", 5.0)
   assert len(starts_of(deployment, 5)) == 2, "the runs were adopted"
   owner.start()
-  deployments.wait_for(owner.is_ready, "back")
+  deployments.wait_for(owner.is_ready, "host ready again")
   assert deployment.report()["broken"] == []
 
 
@@ -80,7 +80,7 @@
   for each in deployment.hosts:
     each.start()
   for each in deployment.hosts:
-    deployments.wait_for(each.is_ready, "back")
+    deployments.wait_for(each.is_ready, "host ready again")
   deployments.wait_for(has_state(host, number), "done", 8.0)
   assert deployment.report()["broken"] == []
 
@@ -95,6 +95,6 @@
     assert host.submit(each, run_s=2.0, kept=True)[0].status == 200
   assert host.submit(job_id(8), run_s=4.0, kept=True)[0].status == 200
   for each in deployment.hosts:
-    deployments.wait_for(lambda h=each: h.pending() == 1, "one waits", 3.0)
+    deployments.wait_for(lambda h=each: h.pending() == 1, "one job waits", 3.0)
   for each in [*filling_jobs, job_id(8)]:
     assert host.cancel(each) == 200
--- a/tests/test_platform_role.py
+++ b/tests/test_platform_role.py
@@ -138,7 +138,7 @@
   starts = [s for s in deployment.report()["starts"] if "0006." in s[0]]
   assert len(starts) == 2, "the runs were adopted, not started again"
   owner.start()
-  deployments.wait_for(owner.is_ready, "back")
+  deployments.wait_for(owner.is_ready, "host ready again")
 
 
 def test_frozen_owner_is_fenced_when_it_resumes(deployment):
@@ -153,7 +153,9 @@
     )
   finally:
     os.kill(owner.process.pid, signal.SIGCONT)
-  deployments.wait_for(lambda: not owner.owns(), "stands down", 3.0)
+  deployments.wait_for(
+      lambda: not owner.owns(), "the resumed owner gives up its shard", 3.0
+  )
   assert owner.submit(deployments.job_id(8), deadline_ms=5000)[0].status == 200
   assert deployment.report()["broken"] == []
 
@@ -210,7 +212,7 @@
   assert [c for c in cut_off if c[0] > 0.1] == []
   assert "event=stopped" in owner.log()
   owner.start()
-  deployments.wait_for(owner.is_ready, "back")
+  deployments.wait_for(owner.is_ready, "host ready again")
 
 
 def test_settings_file_is_reloaded_on_sighup(deployment):
