--- a/fescueturn/platform/role.py
+++ b/fescueturn/platform/role.py
@@ -283,13 +283,13 @@
 async def _main(
     node: nodefile.NodeSettings,
     log: logs.BoundedSink,
-    statsd_address: settings.Address | None,
+    statsd_server: settings.Address | None,
 ):
   clock = timer.TimerService(host_lib.TICK_S)
   clock.subscribe(log.tick)
   stats = (
-      metrics.client(statsd_address, "role", node.host)
-      if statsd_address
+      metrics.client(statsd_server, "role", node.host)
+      if statsd_server
       else None
   )
   process = EntryProcess(node, clock, stats)
@@ -302,11 +302,11 @@
   """Runs the entry host; exits with status 2 if its settings are invalid."""
   try:
     node = nodefile.load()
-    statsd_address = nodefile.statsd_address()
+    statsd_server = nodefile.statsd_address()
   except errors.SettingsError as exc:
     print(f"event=settings_rejected error={exc}", file=sys.stderr)
     sys.exit(EXIT_BAD_SETTINGS)
-  curio.run(_main, node, logs.setup_bounded(node.host), statsd_address)
+  curio.run(_main, node, logs.setup_bounded(node.host), statsd_server)
 
 
 if __name__ == "__main__":
--- a/fescueturn/platform/wireserver.py
+++ b/fescueturn/platform/wireserver.py
@@ -109,10 +109,10 @@
     prefix, after = call["prefix"], int(call["after"])
     wait_s = min(MAX_WATCH_S, int(call["waitMs"]) / 1000)
     await curio.ignore_after(wait_s, self._wait, prefix, after)
-    changes = self._store.changes(prefix, after)
-    if changes is None:
+    changed_items = self._store.changes(prefix, after)
+    if changed_items is None:
       return httpio.json_response(410, {})
-    events = [self._row(item) for item in changes]
+    events = [self._row(item) for item in changed_items]
     answer = {"events": events, "currentRev": self._store.revision}
     return httpio.json_response(200, answer)
 
--- a/spec/losses.pml
+++ b/spec/losses.pml
@@ -82,7 +82,7 @@
      }
   :: atomic { here > 0 && !sound -> here--; crashed++; unsaved = true }
   :: atomic { before > 0 && !sound -> before--; crashed++; unsaved = true }
-  :: atomic { here > 0 && sound -> here--; unsaved = true }    /* the endpoint is alive */
+  :: atomic { here > 0 && sound -> here--; unsaved = true }    /* endpoint is alive */
   :: atomic { kills < KILLS && !given_up -> kills++;
        running = false; unnoticed = false; unsaved = false;
        here = 0; before = stored_doubts; crashed = stored_crashed;
--- a/tests/test_platform_configuration.py
+++ b/tests/test_platform_configuration.py
@@ -314,13 +314,13 @@
 
 
 def test_change_is_in_force_in_time_after_an_outage_of_any_length():
-  free_ports = ports.free_ports(len(OUTAGES_S))
+  server_ports = ports.free_ports(len(OUTAGES_S))
 
   async def run():
     async with curio.TaskGroup() as group:
       tasks = [
           await group.spawn(measure_convergence, port, outage_s)
-          for port, outage_s in zip(free_ports, OUTAGES_S, strict=True)
+          for port, outage_s in zip(server_ports, OUTAGES_S, strict=True)
       ]
     return [task.result for task in tasks]
 
