--- a/fescueturn/platform/jobstore.py
+++ b/fescueturn/platform/jobstore.py
@@ -298,7 +298,7 @@
 def _resolve_conflict(
     effect: keptevents.WriteKeptJobs, conflict: kvtypes.ConflictError
 ) -> tuple[keptevents.WriteResult, int, tuple[str, ...]]:
-  """Finds out from a conflict what became of a write.
+  """Determines the result of a write from the conflict that it met.
 
   Returns:
     The write's result, the revision of the shard's head record, and the ids of
--- a/spec/answer.pml
+++ b/spec/answer.pml
@@ -13,7 +13,7 @@
  * Mutants, in each of which spin must find a violation (tests/test_spec.py):
  *  -DRETRY_LOST  a task whose reply was lost is retried;
  *  -DGUESS       a task in flight is reported as "not run";
- *  -DPARTIAL     the job counts as complete once any task is.
+ *  -DPARTIAL     the job counts as complete once any task is done.
  */
 
 #define NT 2
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -15,7 +15,7 @@
  *    it is not fenced, and only if it knows no other coordinator's claim;
  *  - a host that becomes a holder of the key is trusted (to know every earlier
  *    claim) once it has fetched the claims of every other member, and of the
- *    members that left its view, if they answer.
+ *    members that left its view, if they answer (a sync).
  *
  * Mutants, in each of which spin must find a violation (tests/test_spec.py):
  *  -DNO_CLAIM   the coordinator starts without asking the holders;
--- a/spec/shards.pml
+++ b/spec/shards.pml
@@ -187,7 +187,7 @@
   :: atomic { !knows[1] -> ask(1) }
   /* The replaced holder starts the task that it had not started: before it
      learns that it is replaced, or when it resumes after a freeze; then the
-     fencing token at the endpoint must reject the order. */
+     endpoint must reject the order by its fencing token. */
   :: atomic { old_holder > 0 && old_placed == NONE && old_settled && wanted &&
       alive && placed == NONE && !running[0] && !running[1] &&
       (since <= FENCED || knows[0] || knows[1]) ->
