--- a/fescueturn/answers.py
+++ b/fescueturn/answers.py
@@ -1,4 +1,4 @@
-"""Builds job answers: complete, ended early, cancelled, or owner lost."""
+"""Builds job answers: complete, ended early, cancelled, or coordinator lost."""
 
 from fescueturn import codes
 from fescueturn import messages
--- a/fescueturn/baseline.py
+++ b/fescueturn/baseline.py
@@ -37,7 +37,7 @@
 
 
 def new_state(name: str, boot: str, limits: state_lib.Limits):
-  """Returns the state of a naive entry host."""
+  """Returns the state of an entry host that uses this baseline."""
   return state_lib.EntryState(name, boot, limits, admit, RandomEndpoints(name))
 
 
@@ -56,7 +56,7 @@
   """Starts the job if its key was free.
 
   Refuses it if the store did not answer. If the key existed, answers that the
-  outcome is unknown: the key's owner may have run the job.
+  outcome is unknown: the entry host that wrote it may have run the job.
   """
   record = state.jobs.get(event.key)
   if record is None or record.phase is not state_lib.Phase.CLAIMING:
--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -20,10 +20,10 @@
 
 CLAIM_TIMEOUT_S = 1.0
 CLAIM_RETRY_DELAY_S = 0.02
-# Number of rounds that a coordinator retries while another claimant has a later
-# holder, before it yields. Two coordinators can each have been accepted by one
-# of the two holders; the one that has the first holder then waits for the other
-# to yield.
+# Two coordinators can each be accepted by one of a key's two holders. The one
+# that the second holder accepted yields at once; the one that the first holder
+# accepted retries up to this many times, so that the other has time to yield,
+# and then yields as well.
 MAX_CONFLICTS = 4
 MAX_HOPS = 5
 
@@ -101,8 +101,8 @@
     return _retry_later(state, record)
   held = [claim for r in replies for claim in r.held]
   if held:
-    first = replies[0].verdict is claims.Verdict.HELD
-    if not first and record.conflicts < MAX_CONFLICTS:
+    held_by_first = replies[0].verdict is claims.Verdict.HELD
+    if not held_by_first and record.conflicts < MAX_CONFLICTS:
       record.conflicts += 1
       return _retry_later(state, record)
     return _yield_to(state, record, held)
--- a/fescueturn/claims.py
+++ b/fescueturn/claims.py
@@ -104,9 +104,9 @@
     view: digest of the asker's membership view; a member replies only if its
       own view is the same.
     asker: the requesting process.
-    departed_lease: 0 for a member. For a host that is no longer in the asker's
-      view: the lease it had there. That host replies in any view, and if it
-      still has that lease, it accepts no more claims in its own view.
+    departed_lease: 0 if the receiver is a member of the asker's view. Otherwise
+      the lease that the receiver last had there: it then replies in any view,
+      and if it still has that lease, accepts no more claims in its own view.
     partitions: the requested partition numbers.
   """
 
@@ -126,7 +126,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProbeRequest:
-  """Asks a peer for a promise, from a host whose lease expired.
+  """Asks a peer for a promise (see `ProbeReply`); the asker's lease expired.
 
   `view` is the digest of the asker's membership view.
   """
--- a/fescueturn/cli.py
+++ b/fescueturn/cli.py
@@ -193,9 +193,9 @@
 @click.argument("team")
 def config_get(platform, team):
   """Print a team's settings and their revision."""
-  found = _with_platform(platform, lambda kv: teamconfig.get(kv, team))
-  click.echo(f"# revision {found.revision}")
-  click.echo(found.text, nl=False)
+  stored = _with_platform(platform, lambda kv: teamconfig.get(kv, team))
+  click.echo(f"# revision {stored.revision}")
+  click.echo(stored.text, nl=False)
 
 
 @config.command("put")
@@ -264,10 +264,10 @@
   """Print a request's timeline from hosts' log FILES (or standard input)."""
   sources = files or (click.get_text_stream("stdin"),)
   lines = [line for source in sources for line in source]
-  found = explain.request_timeline(lines, request_id)
-  if not found:
+  timeline = explain.request_timeline(lines, request_id)
+  if not timeline:
     _refuse(errors.NotLoggedError(f"no log line mentions {request_id}"))
-  for line in found:
+  for line in timeline:
     click.echo(f"{line.at} {line.host}: {line.describe()}")
 
 
--- a/fescueturn/codes.py
+++ b/fescueturn/codes.py
@@ -66,7 +66,7 @@
 
 
 class Ran(enum.Enum):
-  """What the entry host knows of whether a task ran."""
+  """The entry host's knowledge of whether a task ran."""
 
   RAN = "ran"
   NOT_RUN = "not_run"
--- a/fescueturn/dispatch.py
+++ b/fescueturn/dispatch.py
@@ -85,7 +85,7 @@
 
 
 def _check_overdue(state, record) -> list:
-  """Excludes endpoints that have an overdue task of the job for a time."""
+  """Temporarily excludes endpoints that have an overdue task of the job."""
   sent_before = state.now - _overdue_after_s(record.job)
   for sent in record.in_flight.values():
     if sent.sent_at <= sent_before:
--- a/fescueturn/entry.py
+++ b/fescueturn/entry.py
@@ -32,8 +32,8 @@
 DRAIN_TIMEOUT_S = 60.0
 
 
-class _Waiter:
-  """A pending request: its completion event and its result."""
+class _PendingRequest:
+  """The completion event and the result of a pending request."""
 
   def __init__(self):
     self.done = curio.Event()
@@ -80,7 +80,7 @@
         config.lease_ttl_s,
         clock.now,
     )
-    self._waiters: dict[int, _Waiter] = {}
+    self._pending: dict[int, _PendingRequest] = {}
     self._endpoints = endpointclient.EndpointClient(clock.now, self._stats)
     self._peers: dict[settings.Address, peer.PeerClient] = {}
     self._loops = []
@@ -151,7 +151,7 @@
     await self._apply(events.DrainStarted())
     await self._lease.leave()
     await curio.ignore_after(limit_s, self._drained.wait)
-    while self._server.open_connections and self._waiters:
+    while self._server.open_connections and self._pending:
       await curio.sleep(0.05)
     await self._lease.withdraw()
     logger.info(
@@ -175,7 +175,7 @@
     """Returns the complete state as JSON-serialisable data."""
     peer_in, peer_out = self._peers_server.bytes_in_out
     shell = {
-        "waiting_requests": len(self._waiters),
+        "waiting_requests": len(self._pending),
         "open_connections": self._server.open_connections,
         "peer_bytes_in": peer_in,
         "peer_bytes_out": peer_out,
@@ -219,10 +219,10 @@
     await self._complete_request(effect.request_id, effect.reply)
 
   async def _complete_request(self, request_id: int, result: claims.Reply):
-    waiter = self._waiters.get(request_id)
-    if waiter is not None:
-      waiter.result = result
-      await waiter.done.set()
+    pending = self._pending.get(request_id)
+    if pending is not None:
+      pending.result = result
+      await pending.done.set()
 
   async def _handle_drained(self, effect: events.Drained):
     del effect
@@ -241,14 +241,14 @@
     """
     request_id = self._next_request
     self._next_request += 1
-    waiter = _Waiter()
-    self._waiters[request_id] = waiter
+    pending = _PendingRequest()
+    self._pending[request_id] = pending
     try:
       await self._apply(make_event(request_id))
-      await waiter.done.wait()
+      await pending.done.wait()
     finally:
-      del self._waiters[request_id]
-    return waiter.result
+      del self._pending[request_id]
+    return pending.result
 
   def _peer_client(self, member: events.Member) -> peer.PeerClient:
     client = self._peers.get(member.peer)
--- a/fescueturn/explain.py
+++ b/fescueturn/explain.py
@@ -55,8 +55,8 @@
         "the request to start task {step}.{task} on {endpoint} failed: {result}"
     ),
     "task_suspected": (
-        "task {step}.{task} lost {endpoint} on attempt {attempt}, the endpoint"
-        " lost number {losses}; {crashes} of these are confirmed crashes"
+        "task {step}.{task} lost {endpoint} on attempt {attempt}; endpoints it"
+        " has lost so far: {losses}, of these confirmed crashes: {crashes}"
     ),
     "task_given_up": (
         "task {step}.{task} was abandoned: it crashed {crashed}; suspected of"
--- a/fescueturn/httpio.py
+++ b/fescueturn/httpio.py
@@ -169,11 +169,11 @@
     The handler's response, or None if the caller disconnected first.
   """
   async with curio.TaskGroup(wait=any) as group:
-    work = await group.spawn(handler, request)
+    handler_task = await group.spawn(handler, request)
     await group.spawn(_wait_closed, sock)
-  if group.completed is not work:
+  if group.completed is not handler_task:
     return None
-  return work.result
+  return handler_task.result
 
 
 async def _read_in_time(sock, conn, limits: Limits, counts) -> Request | None:
@@ -243,7 +243,7 @@
     fixed = Limits(max_body)
     self.handler = handler
     self.limits = limits or (lambda: fixed)
-    self.counts = [0, 0]
+    self.counts = [0, 0]  # Bytes received and bytes sent.
     self._listener = listener.Listener(address, self._run_client)
     self._open = 0
 
@@ -314,7 +314,7 @@
     return Response(status, bytes(payload), out_headers)
 
   def is_alive(self) -> bool:
-    """Returns False if the server closed the connection or sent stray data."""
+    """Returns False if the server closed the connection or sent extra data."""
     poller = select.poll()
     poller.register(self.sock.fileno(), select.POLLIN)
     return not poller.poll(0)
--- a/fescueturn/jobs.py
+++ b/fescueturn/jobs.py
@@ -128,7 +128,7 @@
 ) -> list:
   """Handles a request for a key that this host coordinates already.
 
-  It never starts another task.
+  Joining never starts another task.
   """
   request = waiter.request
   state.counters["joined"] += 1
@@ -234,7 +234,10 @@
 
 
 def fail_job(state, record, not_run: codes.Code) -> list:
-  """Ends a running job now: tasks in flight are unknown, unsent `not_run`."""
+  """Ends a running job now.
+
+  Tasks in flight get TASK_UNKNOWN, tasks never sent the code `not_run`.
+  """
   state.counters["failed"] += 1
   retry_after_s = state.limits.retry_after_s
   return finish_job(
@@ -254,8 +257,8 @@
     # No task started, so a retry of the job may run from the beginning.
     return effects + discard_record(state, record)
   if claimed:
-    # Replicate first: an answer that a caller has got must survive a crash of
-    # this host.
+    # Replicate first: an answer that a caller has received must survive a
+    # crash of this host.
     effects = _replicate_answer(state, record) + effects
   keep_until = state.now + state.limits.answer_keep_s
   state.schedule(keep_until, lambda s: _expire(s, record))
@@ -346,7 +349,7 @@
 
 
 def is_idle(state: state_lib.EntryState) -> bool:
-  """Returns True when no job is open and no task is in flight."""
+  """Returns True when no job, task or forwarded request is in progress."""
   if state.forwarded_requests:
     return False
   return all(r.done and not r.in_flight for r in state.jobs.values())
--- a/fescueturn/logs.py
+++ b/fescueturn/logs.py
@@ -24,7 +24,7 @@
 # loguru's number for WARNING. Lines from this level on have a bucket of their
 # own, of the same rate and size, so that other lines cannot crowd them out.
 WARNING_LEVEL_NO = 30
-# Limit of the lines that are buffered while the reader does not read; the pipe
+# Maximum size of the lines buffered while the reader does not read; the pipe
 # itself holds another 64 KB.
 MAX_BUFFER_BYTES = 256 * 1024
 REPORT_PERIOD_S = 1.0
@@ -119,13 +119,13 @@
 
   def emit(self, record: logging.LogRecord):
     """Logs one record through loguru."""
-    said = json.dumps(record.getMessage())
+    text = json.dumps(record.getMessage())
     severe = record.levelno >= logging.ERROR
     logger.log(
         "ERROR" if severe else "INFO",
         "event=library_said library={} said={}",
         record.name,
-        said,
+        text,
     )
 
 
--- a/fescueturn/membership.py
+++ b/fescueturn/membership.py
@@ -229,9 +229,9 @@
   while True:
     try:
       if revision is None:
-        found = await kv.range(prefix)
-        revision = found.revision
-        members = {i.key: parse_member(i.key, i.value) for i in found.items}
+        current = await kv.range(prefix)
+        revision = current.revision
+        members = {i.key: parse_member(i.key, i.value) for i in current.items}
         await apply(_members_event(members, gap=True))
       changes = await kv.watch(prefix, revision, WATCH_MS)
       revision = changes.revision
@@ -250,8 +250,8 @@
 
 
 def _members_event(members, gap: bool = False) -> events.MembersChanged:
-  found = tuple(m for m in members.values() if m is not None)
-  return events.MembersChanged(found, gap)
+  valid = tuple(m for m in members.values() if m is not None)
+  return events.MembersChanged(valid, gap)
 
 
 def _team_event(item: kvtypes.Item) -> events.TeamChanged | None:
@@ -304,10 +304,12 @@
 
 async def _read_teams(kv, known: set[str]) -> kvtypes.Changes:
   """Reads all teams; adds a removal for each of `known` that is now missing."""
-  found = await kv.range(TEAMS_PREFIX)
-  gone = known - {item.key for item in found.items}
-  removals = [kvtypes.Item(key, found.revision, None) for key in sorted(gone)]
-  return kvtypes.Changes(found.revision, (*found.items, *removals))
+  current = await kv.range(TEAMS_PREFIX)
+  removed = known - {item.key for item in current.items}
+  removals = [
+      kvtypes.Item(key, current.revision, None) for key in sorted(removed)
+  ]
+  return kvtypes.Changes(current.revision, (*current.items, *removals))
 
 
 def _endpoint(record: kvtypes.HostRecord) -> events.EndpointInfo:
@@ -331,13 +333,13 @@
   last = None
   while True:
     try:
-      found = await kv.range(kvtypes.HOSTS_PREFIX)
+      listed = await kv.range(kvtypes.HOSTS_PREFIX)
       backoff.reset()
     except errors.KvError as exc:
       logger.warning("event=hosts_poll_failed error={!r}", exc)
       await backoff.wait()
       continue
-    hosts = [kvtypes.decode_host(item.value) for item in found.items]
+    hosts = [kvtypes.decode_host(item.value) for item in listed.items]
     local = tuple(_endpoint(h) for h in hosts if h.data_centre == data_centre)
     if local != last:
       await apply(events.EndpointsChanged(local))
--- a/fescueturn/ownership.py
+++ b/fescueturn/ownership.py
@@ -53,8 +53,8 @@
       membership.fenced_view = membership.view.digest
   elif membership.view is None or membership.view.digest != request.view:
     return claims.SyncReply(ready=False)
-  found = state.claims.in_partitions(request.partitions, state.now)
-  return claims.SyncReply(True, found)
+  requested = state.claims.in_partitions(request.partitions, state.now)
+  return claims.SyncReply(True, requested)
 
 
 def answer_probe(
@@ -113,7 +113,10 @@
 
 
 def _record_departed(state: state_lib.EntryState, before: views.View):
-  """Records members that vanished without draining; they may still run."""
+  """Records members that left the view without draining.
+
+  Their processes may still run.
+  """
   membership = state.membership
   grace = state.limits.lease_ttl_s
   for member in before.members:
--- a/fescueturn/peer.capnp
+++ b/fescueturn/peer.capnp
@@ -18,7 +18,7 @@
   tasks @5 :List(Task);
 }
 
-# A job forwarded to the entry host that already coordinates its key.
+# A job forwarded to another entry host, usually its key's coordinator.
 struct ForwardJob {
   job @0 :Job;
   hops @1 :UInt16;
--- a/fescueturn/peercodec.py
+++ b/fescueturn/peercodec.py
@@ -106,8 +106,8 @@
   )
 
 
-def _put_claims(slots, found):
-  for slot, claim in zip(slots, found, strict=True):
+def _put_claims(slots, items):
+  for slot, claim in zip(slots, items, strict=True):
     _put_claim(slot, claim)
 
 
--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -90,7 +90,17 @@
 
 
 class JobRecord:
-  """A coordinator's record of one job, kept for a time after the job ends."""
+  """A coordinator's record of one job, kept for a time after the job ends.
+
+  Attributes:
+    number: sequence number of its current claim (see `claims.Claim`).
+    claim_deadline: until when the coordinator tries to claim the key.
+    round: the current attempt at claiming the key.
+    retry_pending: True while another attempt is scheduled.
+    conflicts: retries because the holders accepted different claimants.
+    answers: the answers of finished tasks, by task id.
+    retries: number of sends that the endpoints did not start, for all tasks.
+  """
 
   def __init__(self, job: messages.Job, deadline: float, number: int):
     self.job = job
--- a/fescueturn/teamconfig.py
+++ b/fescueturn/teamconfig.py
@@ -38,10 +38,10 @@
   Raises:
     errors.KvNotFoundError: the team has no settings (code 302).
   """
-  found = await kv.get(membership.team_key(team))
-  if not found.items:
+  stored = await kv.get(membership.team_key(team))
+  if not stored.items:
     raise errors.KvNotFoundError(f"no settings for team {team!r}")
-  (item,) = found.items
+  (item,) = stored.items
   return TeamConfig(team, item.value.decode(), item.revision)
 
 
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -107,10 +107,11 @@
     lease: id of this host's lease.
     lease_until: when the lease expires, by this host's clock.
     promised_until: until when the promises of all peers replace the lease.
-    promises: promises given to other processes, with their expiry times.
+    promises: expiry times of the promises given to other processes.
     fenced_view: digest of a view in which this host accepts no claims.
     trusted: the partitions of which this host knows every claim.
-    departed: members that vanished without draining and may still run.
+    departed: members that left the view without draining and may still run,
+      by name.
     sync: the sync in progress, or None.
     probe: the last round of promise requests, or None.
     next_probe: the earliest time for the next such round.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,7 +49,7 @@
 
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
-  """The role's processes, connected to a stand-in platform."""
+  """Entry hosts as processes, connected to a stand-in of the platform."""
   running = deployments.Deployment(tmp_path_factory.mktemp("role"))
   yield running
   running.close()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -77,7 +77,7 @@
   job = workload.make_jobs(seed=8, per_team=1, max_tasks=6)[1]
   entries_a, entries_b = None, None
 
-  async def go():
+  async def scenario():
     nonlocal entries_a, entries_b
     entries_a, entries_b = pools(cluster)
     first = await caller.submit(entries_a, job)
@@ -86,7 +86,7 @@
     after = await starts_by_key(cluster)
     return first, again, before, after
 
-  first, again, before, after = run(go)
+  first, again, before, after = run(scenario)
   assert first.answer.complete
   assert again.answer == first.answer
   assert before == after
@@ -123,12 +123,12 @@
 def test_bad_input_gets_its_error_code_and_starts_nothing(
     cluster, body, status, code
 ):
-  async def go():
+  async def scenario():
     before = await starts_by_key(cluster)
     response = await post(cluster, body, key=f"bad-{int(code)}")
     return before, response, await starts_by_key(cluster)
 
-  before, response, after = run(go)
+  before, response, after = run(scenario)
   assert response.status == status
   assert response.json()["code"] == int(code)
   assert before == after
@@ -144,13 +144,13 @@
 
 
 def test_reused_key_with_other_payload_is_refused(cluster):
-  async def go():
+  async def scenario():
     first = await post(cluster, job_body(payload="recieve"), key="reused")
     before = await starts_by_key(cluster)
     second = await post(cluster, job_body(payload="other"), key="reused")
     return first, second, before, await starts_by_key(cluster)
 
-  first, second, before, after = run(go)
+  first, second, before, after = run(scenario)
   assert first.status == 200
   assert messages.answer_from_json(first.json()).complete
   assert second.status == 409
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -86,7 +86,7 @@
 
 
 def test_endpoint_killed_mid_job_gives_complete_accurate_codes(cluster):
-  async def go():
+  async def scenario():
     submitted_job = job("kill-endpoint", tasks=9, run_ms=2000)
     task = await curio.spawn(
         caller.submit, pool(cluster, "entry-1"), submitted_job
@@ -96,16 +96,16 @@
     result = await task.join()
     return submitted_job, result, await starts(cluster)
 
-  submitted_job, result, seen = curio.run(go)
+  submitted_job, result, start_counts = curio.run(scenario)
   answer = result.answer
   assert answer is not None and len(answer.tasks) == len(submitted_job.tasks)
   assert answer.code == codes.Code.JOB_FAILED and answer.retry_after_s >= 1
   assert any(t.ran == codes.Ran.UNKNOWN for t in answer.tasks)
   for t in answer.tasks:
     key = f"{submitted_job.key}/{t.task_id}"
-    assert seen.get(key, 0) <= 1
+    assert start_counts.get(key, 0) <= 1
     if t.ran == codes.Ran.NOT_RUN:
-      assert seen.get(key, 0) == 0
+      assert start_counts.get(key, 0) == 0
 
 
 def test_killed_daemon_is_not_reported_alive(cluster):
@@ -118,7 +118,7 @@
 
 
 def test_platform_down_entry_hosts_keep_serving(cluster):
-  async def go():
+  async def scenario():
     kv = control.PlatformControl(cluster.platform)
     await kv.set_fault("down")
     await curio.sleep(1.0)
@@ -130,12 +130,12 @@
     await kv.close()
     return results
 
-  for result in curio.run(go):
+  for result in curio.run(scenario):
     assert result.answer is not None and result.answer.complete
 
 
 def test_leaving_endpoint_gets_no_new_work_after_a_few_seconds(cluster):
-  async def go():
+  async def scenario():
     cluster.signal("endpoint-1", signal.SIGTERM)
     entries = [pool(cluster, n) for n in cluster.names("entry")]
     for wave in range(8):
@@ -145,14 +145,17 @@
           await group.spawn(caller.submit, entries[i % 2], item)
     return await stats(cluster, "endpoint-1")
 
-  seen = curio.run(go)
-  assert seen["leaving_since"] is not None
-  if seen["starts_while_leaving"]:
-    assert seen["last_start"] - seen["leaving_since"] < LEAVING_BOUND_S
+  endpoint_stats = curio.run(scenario)
+  assert endpoint_stats["leaving_since"] is not None
+  if endpoint_stats["starts_while_leaving"]:
+    assert (
+        endpoint_stats["last_start"] - endpoint_stats["leaving_since"]
+        < LEAVING_BOUND_S
+    )
 
 
 def test_graceful_stop_finishes_all_jobs_in_flight(cluster):
-  async def go():
+  async def scenario():
     jobs = [job(f"drain-{i}", tasks=3, run_ms=1500) for i in range(6)]
     entry1 = pool(cluster, "entry-1")
     tasks = [await curio.spawn(caller.submit, entry1, j) for j in jobs]
@@ -165,7 +168,7 @@
     )
     return results, code, after
 
-  results, code, after = curio.run(go)
+  results, code, after = curio.run(scenario)
   assert code == 0
   assert all(r.answer is not None and r.answer.complete for r in results)
   assert after.answer is not None and after.answer.complete
@@ -174,7 +177,7 @@
 def test_racing_operators_and_lost_reply_never_revert_settings(cluster):
   text = launcher.TEAM_SETTINGS["altamaha"]
 
-  async def go():
+  async def scenario():
     kv, steering = cluster.client(), control.PlatformControl(cluster.platform)
     current = await teamconfig.get(kv, "altamaha")
     first = await teamconfig.put(
@@ -203,13 +206,13 @@
       await curio.sleep(0.05)
     return stored, lost, revisions
 
-  stored, lost, revisions = curio.run(go)
+  stored, lost, revisions = curio.run(scenario)
   assert "7000" in stored.text and stored.revision == lost
   assert revisions == [lost, lost]
 
 
-def test_owner_killed_mid_job_then_resubmitted_starts_no_task_twice(cluster):
-  async def go():
+def test_resubmission_after_coordinator_kill_starts_no_task_twice(cluster):
+  async def scenario():
     submitted_job = job(
         "kill-owner",
         tasks=6,
@@ -220,33 +223,35 @@
     entries = {n: pool(cluster, n) for n in cluster.names("entry")}
     first = await curio.spawn(caller.submit, entries["entry-1"], submitted_job)
     await curio.sleep(0.3)
-    owner = await find_coordinator(cluster)
-    cluster.signal(owner, signal.SIGKILL)
-    other = next(n for n in entries if n != owner)
-    await curio.sleep(4.0)  # The owner's lease (3 s) expires; keys move.
+    coordinator = await find_coordinator(cluster)
+    cluster.signal(coordinator, signal.SIGKILL)
+    other = next(n for n in entries if n != coordinator)
+    await curio.sleep(4.0)  # The coordinator's lease (3 s) expires; keys move.
     again = await caller.submit(entries[other], submitted_job)
     await first.cancel()
     return submitted_job, again, await starts(cluster)
 
-  submitted_job, again, seen = curio.run(go)
+  submitted_job, again, start_counts = curio.run(scenario)
   assert again.answer is not None and len(again.answer.tasks) == len(
       submitted_job.tasks
   )
-  assert all(seen.get(f"{submitted_job.key}/t{i}", 0) <= 1 for i in range(6))
+  assert all(
+      start_counts.get(f"{submitted_job.key}/t{i}", 0) <= 1 for i in range(6)
+  )
 
 
-def release_job(key, run_ms=2000):
+def fuel_release_job(key, run_ms=2000):
   return job(key, run_ms=run_ms, kind="fuel_release", idempotent=False)
 
 
-def assert_each_started_at_most_once(submitted_job, seen):
+def assert_each_started_at_most_once(submitted_job, start_counts):
   for t in submitted_job.tasks:
-    assert seen.get(f"{submitted_job.key}/{t.task_id}", 0) <= 1
+    assert start_counts.get(f"{submitted_job.key}/{t.task_id}", 0) <= 1
 
 
 def test_coordinator_paused_past_its_lease_repeats_nothing(cluster):
-  async def go():
-    submitted_job = release_job("freeze")
+  async def scenario():
+    submitted_job = fuel_release_job("freeze")
     entries = {n: pool(cluster, n) for n in cluster.names("entry")}
     first = await curio.spawn(caller.submit, entries["entry-1"], submitted_job)
     await curio.sleep(0.3)
@@ -260,16 +265,18 @@
     again = await caller.submit(entries["entry-1"], submitted_job)
     return submitted_job, meanwhile, other, late, again, await starts(cluster)
 
-  submitted_job, meanwhile, other, late, again, seen = curio.run(go)
-  assert_each_started_at_most_once(submitted_job, seen)
+  submitted_job, meanwhile, other, late, again, start_counts = curio.run(
+      scenario
+  )
+  assert_each_started_at_most_once(submitted_job, start_counts)
   assert all(t.ran == codes.Ran.UNKNOWN for t in meanwhile.answer.tasks)
   assert other.answer.complete
   assert late.answer == again.answer and len(late.answer.tasks) == 6
 
 
 def test_same_key_at_both_entry_hosts_at_once_starts_once(cluster):
-  async def go():
-    jobs = [release_job(f"both-{i}", run_ms=200) for i in range(10)]
+  async def scenario():
+    jobs = [fuel_release_job(f"both-{i}", run_ms=200) for i in range(10)]
     entries = [pool(cluster, n) for n in cluster.names("entry")]
     tasks = [
         await curio.spawn(caller.submit, entry, j)
@@ -279,43 +286,47 @@
     results = [await t.join() for t in tasks]
     return jobs, results, await starts(cluster)
 
-  jobs, results, seen = curio.run(go)
+  jobs, results, start_counts = curio.run(scenario)
   for i, submitted_job in enumerate(jobs):
     one, two = results[2 * i], results[2 * i + 1]
     assert one.answer.complete and one.answer == two.answer
     assert all(
-        seen[f"{submitted_job.key}/{t.task_id}"] == 1
+        start_counts[f"{submitted_job.key}/{t.task_id}"] == 1
         for t in submitted_job.tasks
     )
 
 
 def test_entry_host_killed_while_the_platform_is_down(cluster):
-  async def go():
+  async def scenario():
     kv = control.PlatformControl(cluster.platform)
-    done = await caller.submit(pool(cluster, "entry-1"), release_job("o", 100))
+    done = await caller.submit(
+        pool(cluster, "entry-1"), fuel_release_job("o", 100)
+    )
     await kv.set_fault("down")
     await curio.sleep(4.0)  # All leases expire by their holders' clocks.
     cluster.signal("entry-1", signal.SIGKILL)
     cluster.wait("entry-1")
     entry2 = pool(cluster, "entry-2")
-    again = await caller.submit(entry2, release_job("o", 100))
+    again = await caller.submit(entry2, fuel_release_job("o", 100))
     new = await caller.submit(entry2, job("outage-new", run_ms=100))
     await kv.set_fault("none")
     cluster.spawn("entry-1")
     await cluster.wait_entry_ready("entry-1")
-    after = await caller.submit(pool(cluster, "entry-1"), release_job("o", 100))
+    after = await caller.submit(
+        pool(cluster, "entry-1"), fuel_release_job("o", 100)
+    )
     await kv.close()
     return done, again, new, after, await starts(cluster)
 
-  done, again, new, after, seen = curio.run(go)
+  done, again, new, after, start_counts = curio.run(scenario)
   assert done.answer.complete and new.answer.complete
   assert again.answer == done.answer == after.answer
-  assert_each_started_at_most_once(release_job("o", 100), seen)
+  assert_each_started_at_most_once(fuel_release_job("o", 100), start_counts)
 
 
 def test_rolling_restart_of_entry_hosts_keeps_the_answers(cluster):
-  async def go():
-    jobs = [release_job(f"roll-{i}", run_ms=100) for i in range(8)]
+  async def scenario():
+    jobs = [fuel_release_job(f"roll-{i}", run_ms=100) for i in range(8)]
     first = [
         await caller.submit(pool(cluster, f"entry-{i % 2 + 1}"), j)
         for i, j in enumerate(jobs)
@@ -328,19 +339,19 @@
     again = [await caller.submit(pool(cluster, "entry-1"), j) for j in jobs]
     return jobs, first, again, await starts(cluster)
 
-  jobs, first, again, seen = curio.run(go)
+  jobs, first, again, start_counts = curio.run(scenario)
   assert [r.answer for r in again] == [r.answer for r in first]
   for submitted_job in jobs:
     assert all(
-        seen[f"{submitted_job.key}/{t.task_id}"] == 1
+        start_counts[f"{submitted_job.key}/{t.task_id}"] == 1
         for t in submitted_job.tasks
     )
 
 
 def test_burst_of_cancellations_is_not_lost(cluster):
-  async def go():
-    jobs = [release_job(f"wave-{i}", run_ms=4000) for i in range(30)]
-    late = [release_job(f"late-{i}", run_ms=100) for i in range(10)]
+  async def scenario():
+    jobs = [fuel_release_job(f"wave-{i}", run_ms=4000) for i in range(30)]
+    late = [fuel_release_job(f"late-{i}", run_ms=100) for i in range(10)]
     entries = [pool(cluster, n) for n in cluster.names("entry")]
     running = [
         await curio.spawn(caller.submit, entries[i % 2], j)
@@ -359,7 +370,7 @@
     await curio.sleep(1.0)
     return acks, results, resubmitted, before, await starts(cluster)
 
-  acks, results, resubmitted, before, after = curio.run(go)
+  acks, results, resubmitted, before, after = curio.run(scenario)
   assert all(a.answer is not None and not a.answer.complete for a in acks)
   assert [a.answer for a in acks[:30]] == [r.answer for r in results]
   assert all(r.answer.code == codes.Code.JOB_CANCELLED for r in resubmitted)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -16,17 +16,18 @@
 from tests import fakepeers
 
 STEPS = 120
-SEEDS_A_TEST = 60
+SEEDS_PER_TEST = 60
 
 
 class Run:
+  """One random run of steps on fake peers, reproducible by its seed."""
 
   def __init__(self, seed):
     self.rng = random.Random(seed)
     self.peers = fakepeers.Peers(
         "abcd"[: self.rng.randint(2, 4)], finish_tasks=False
     )
-    self.spare = list("efgh")
+    self.unused_names = list("efgh")
     self.paused = None
     self.failed = False
     self.requests = []
@@ -83,8 +84,8 @@
     self.peers.tick(self.rng.choice((0.02, 0.05, 0.3)), self.active_hosts())
 
   def join(self):
-    if self.spare:
-      self.peers.join(self.spare.pop())
+    if self.unused_names:
+      self.peers.join(self.unused_names.pop())
 
   def fail(self):
     if self.failed or len(self.active_hosts()) < 3:
@@ -95,7 +96,7 @@
     if kind == "crash":
       self.peers.crash(name)
       self.peers.expire_member(name)
-      self.spare.append(name)
+      self.unused_names.append(name)
     elif kind == "pause":
       self.paused = name
       self.peers.expire_member(name)
@@ -111,6 +112,7 @@
     self.failed = False
 
   def resume(self):
+    """Resumes the paused host, in half the cases with its old view at first."""
     name, self.paused = self.paused, None
     if self.rng.random() < 0.5:
       for _ in range(self.rng.randint(1, 10)):
@@ -154,9 +156,9 @@
   return not outcome.answer.complete or (len(done) == 2 and all(done))
 
 
-@pytest.mark.parametrize("first", range(0, 5 * SEEDS_A_TEST, SEEDS_A_TEST))
+@pytest.mark.parametrize("first", range(0, 5 * SEEDS_PER_TEST, SEEDS_PER_TEST))
 def test_no_task_starts_twice_and_every_request_ends(first):
-  for seed in range(first, first + SEEDS_A_TEST):
+  for seed in range(first, first + SEEDS_PER_TEST):
     run = Run(seed)
     try:
       run.run_steps()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -28,14 +28,14 @@
 
 
 def imported(path: pathlib.Path) -> set[str]:
-  found = set()
+  modules = set()
   for node in ast.walk(ast.parse(path.read_text())):
     if isinstance(node, ast.ImportFrom) and node.module:
-      found.add(node.module)
-      found.update(f"{node.module}.{alias.name}" for alias in node.names)
+      modules.add(node.module)
+      modules.update(f"{node.module}.{alias.name}" for alias in node.names)
     elif isinstance(node, ast.Import):
-      found.update(alias.name for alias in node.names)
-  return {name for name in found if name.startswith("fescueturn")}
+      modules.update(alias.name for alias in node.names)
+  return {name for name in modules if name.startswith("fescueturn")}
 
 
 def test_layers_import_only_allowed_layers():
