--- a/fescueturn/claiming.py
+++ b/fescueturn/claiming.py
@@ -125,10 +125,13 @@
   """
   state.counters["yielded"] += 1
   view = state.membership.view
-  ours = record.job.fingerprint
+  own_fingerprint = record.job.fingerprint
 
   def same_job(claim: claims.Claim) -> bool:
-    return not (ours and claim.fingerprint) or claim.fingerprint == ours
+    return (
+        not (own_fingerprint and claim.fingerprint)
+        or claim.fingerprint == own_fingerprint
+    )
 
   def is_alive(claim: claims.Claim) -> bool:
     return view.runs(claim.owner) and claim.owner not in state.dead
--- a/fescueturn/cli.py
+++ b/fescueturn/cli.py
@@ -168,7 +168,7 @@
 @main.command("platform")
 @click.option("--settings", "path", required=True, help="INI settings file.")
 def platform_command(path):
-  """Run the platform stand-in: key-value service and host list."""
+  """Run the platform stand-in: key-value store and host list."""
   _daemon(path, "platform", _run_platform)
 
 
--- a/fescueturn/codes.py
+++ b/fescueturn/codes.py
@@ -1,7 +1,7 @@
 """Numbered result codes shared by all roles; docs/ERRORS.md has the table.
 
 Codes 0-99 describe a task, 100-199 a job, 200-299 a rejected or failed request,
-300-399 the platform's key-value service, 400-499 settings and 500-599
+300-399 the platform's key-value store, 400-499 settings and 500-599
 connections. Each task code states whether the task ran; `task_ran` maps it to
 `Ran.RAN`, `Ran.NOT_RUN` or `Ran.UNKNOWN`.
 """
@@ -51,7 +51,7 @@
   NO_QUEUE = 215
   NO_JOB = 216
   ENDPOINTS_CRASHED = 217
-  # The platform's key-value service.
+  # The platform's key-value store.
   KV_CONFLICT = 300
   KV_UNAVAILABLE = 301
   KV_NOT_FOUND = 302
--- a/fescueturn/errors.py
+++ b/fescueturn/errors.py
@@ -34,7 +34,7 @@
 
 
 class KvError(FescueError):
-  """The platform's key-value service failed or refused a call."""
+  """The platform's key-value store failed or refused a call."""
 
   code = codes.Code.KV_UNAVAILABLE
 
@@ -46,7 +46,7 @@
 
 
 class KvNotFoundError(KvError):
-  """The key is not in the platform's key-value service."""
+  """The key is not in the platform's key-value store."""
 
   code = codes.Code.KV_NOT_FOUND
 
--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-  """An entry host of this data centre, from its key in the KV store.
+  """An entry host of this data centre, from its key in the platform's store.
 
   The key is bound to the host's lease and disappears when the lease ends.
 
@@ -143,7 +143,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class MembersChanged:
-  """The next view of this data centre's entry hosts, in KV revision order.
+  """The next view of this data centre's entry hosts, in store revision order.
 
   Attributes:
     members: every entry host of the view.
--- a/fescueturn/jobs.py
+++ b/fescueturn/jobs.py
@@ -99,8 +99,8 @@
   if not others or waiter.hops:
     error = errors.FescueError("entry host is stopping", codes.Code.DRAINING)
     return [refuse(state, waiter, error)]
-  first = next((n for n in view.holders(waiter.key) if n in others), others[0])
-  return [forward(state, waiter, view.member(first))]
+  target = next((n for n in view.holders(waiter.key) if n in others), others[0])
+  return [forward(state, waiter, view.member(target))]
 
 
 def forward(
--- a/fescueturn/settings.py
+++ b/fescueturn/settings.py
@@ -1,7 +1,7 @@
 """Settings of daemons and teams: all keys, their defaults and validation.
 
 A daemon reads one INI file; a team's settings are INI text in the platform's
-key-value service at ``/teams/<team>/settings``. Loading validates them into
+key-value store at ``/teams/<team>/settings``. Loading validates them into
 frozen dataclasses; an invalid field raises an `errors.SettingsError` that names
 the section and key and has a numbered code.
 """
--- a/fescueturn/state.py
+++ b/fescueturn/state.py
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TeamEntry:
-  """A team's settings (None: removed) and their KV revision."""
+  """A team's settings (None: removed) and their revision in the store."""
 
   revision: int
   team_settings: settings.TeamSettings | None
@@ -138,7 +138,17 @@
 
 
 class EntryState:
-  """The complete state of an entry host; changed only by `reducer.reduce`."""
+  """The complete state of an entry host; changed only by `reducer.reduce`.
+
+  Attributes:
+    me: this process.
+    limits: the settings that the reducer uses.
+    admit: starts to claim the key of a new job; returns the effects.
+    now: the time of the current event, in seconds.
+    forwarded_requests: requests without a reply yet, by request id.
+    dead: processes that have certainly ended but are still in the view.
+    counters: counts of events for operators, by name.
+  """
 
   def __init__(
       self,
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -1,6 +1,6 @@
 """Membership views, and an entry host's state within the membership.
 
-A view is the set of entry hosts of the data centre at one KV revision.
+A view is the set of entry hosts of the data centre at one store revision.
 `Membership` holds this host's current view, the partitions of which it knows
 every claim (trusted), the lease that permits it to accept claims, and the
 promises that replace leases during a platform outage.
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-  """The entry hosts of a data centre at one KV revision.
+  """The entry hosts of a data centre at one store revision.
 
   Attributes:
     members: all entry hosts, sorted by name.
--- a/tests/fakepeers.py
+++ b/tests/fakepeers.py
@@ -101,8 +101,8 @@
   def _publish_view(self):
     view = tuple(self.store.values())
     for name, state in self.hosts.items():
-      fresh = state.membership.view is None and not self.views[name]
-      self.views[name].append(events.MembersChanged(view, gap=fresh))
+      is_first_view = state.membership.view is None and not self.views[name]
+      self.views[name].append(events.MembersChanged(view, gap=is_first_view))
 
   def crash(self, name):
     """Kills a process; the messages it has sent stay in transit."""
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -5,7 +5,7 @@
 from fescueturn.scheduler import model
 
 NEED = model.Resources(27000, 64, 0)
-ZONES = ("a", "b", "c")
+DATA_CENTRES = ("a", "b", "c")
 
 
 def job(name: str, count: int, run_ms: int, slo_ms: int = 60) -> model.Job:
@@ -22,7 +22,7 @@
     seed: the seed of all random choices.
   """
   new_fleet = fleet_lib.Fleet(seed)
-  for zone in ZONES:
+  for zone in DATA_CENTRES:
     for number in range(hosts):
       new_fleet.add_host(f"{zone}{number}", zone)
     for number in range(endpoints):
@@ -92,5 +92,5 @@
   return counts
 
 
-def zone_hosts(fleet, zone):
+def hosts_in(fleet, zone):
   return [h for h in fleet.hosts.values() if h.data_centre == zone]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -39,20 +39,20 @@
 
 
 async def starts_by_key(lab):
-  total = {}
+  counts = {}
   for name in lab.names("endpoint"):
     stats = (await lab.get(name, "/v1/stats")).json()
     for key, count in stats["starts_by_key"].items():
-      total[key] = total.get(key, 0) + count
-  return total
+      counts[key] = counts.get(key, 0) + count
+  return counts
 
 
 async def submit_all(lab, jobs):
-  entries = pools(lab)
+  entry_pools = pools(lab)
   results = {}
 
   async def one(index, job):
-    results[job.key] = await caller.submit(entries[index % 2], job)
+    results[job.key] = await caller.submit(entry_pools[index % 2], job)
 
   async with curio.TaskGroup() as group:
     for index, job in enumerate(jobs):
@@ -75,20 +75,20 @@
 
 def test_resubmitted_job_gets_same_answer_and_starts_nothing(cluster):
   job = workload.make_jobs(seed=8, per_team=1, max_tasks=6)[1]
-  entries_a, entries_b = None, None
+  pool_a, pool_b = None, None
 
   async def scenario():
-    nonlocal entries_a, entries_b
-    entries_a, entries_b = pools(cluster)
-    first = await caller.submit(entries_a, job)
+    nonlocal pool_a, pool_b
+    pool_a, pool_b = pools(cluster)
+    first = await caller.submit(pool_a, job)
     before = await starts_by_key(cluster)
-    again = await caller.submit(entries_b, job)
+    resubmitted = await caller.submit(pool_b, job)
     after = await starts_by_key(cluster)
-    return first, again, before, after
+    return first, resubmitted, before, after
 
-  first, again, before, after = run(scenario)
+  first, resubmitted, before, after = run(scenario)
   assert first.answer.complete
-  assert again.answer == first.answer
+  assert resubmitted.answer == first.answer
   assert before == after
 
 
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -119,15 +119,15 @@
 
 def test_platform_down_entry_hosts_keep_serving(cluster):
   async def scenario():
-    kv = control.PlatformControl(cluster.platform)
-    await kv.set_fault("down")
+    platform_control = control.PlatformControl(cluster.platform)
+    await platform_control.set_fault("down")
     await curio.sleep(1.0)
     results = [
         await caller.submit(pool(cluster, n), job(f"down-{n}", run_ms=100))
         for n in cluster.names("entry")
     ]
-    await kv.set_fault("none")
-    await kv.close()
+    await platform_control.set_fault("none")
+    await platform_control.close()
     return results
 
   for result in curio.run(scenario):
@@ -137,12 +137,12 @@
 def test_leaving_endpoint_gets_no_new_work_after_a_few_seconds(cluster):
   async def scenario():
     cluster.signal("endpoint-1", signal.SIGTERM)
-    entries = [pool(cluster, n) for n in cluster.names("entry")]
+    entry_pools = [pool(cluster, n) for n in cluster.names("entry")]
     for wave in range(8):
       batch = [job(f"leave-{wave}-{i}", tasks=4, run_ms=200) for i in range(4)]
       async with curio.TaskGroup() as group:
         for i, item in enumerate(batch):
-          await group.spawn(caller.submit, entries[i % 2], item)
+          await group.spawn(caller.submit, entry_pools[i % 2], item)
     return await stats(cluster, "endpoint-1")
 
   endpoint_stats = curio.run(scenario)
@@ -157,8 +157,8 @@
 def test_graceful_stop_finishes_all_jobs_in_flight(cluster):
   async def scenario():
     jobs = [job(f"drain-{i}", tasks=3, run_ms=1500) for i in range(6)]
-    entry1 = pool(cluster, "entry-1")
-    tasks = [await curio.spawn(caller.submit, entry1, j) for j in jobs]
+    entry1_pool = pool(cluster, "entry-1")
+    tasks = [await curio.spawn(caller.submit, entry1_pool, j) for j in jobs]
     await curio.sleep(0.3)
     cluster.signal("entry-1", signal.SIGTERM)
     results = [await t.join() for t in tasks]
@@ -178,37 +178,39 @@
   text = launcher.TEAM_SETTINGS["altamaha"]
 
   async def scenario():
-    kv, steering = cluster.client(), control.PlatformControl(cluster.platform)
+    kv, platform_control = cluster.client(), control.PlatformControl(
+        cluster.platform
+    )
     current = await teamconfig.get(kv, "altamaha")
-    first = await teamconfig.put(
+    first_revision = await teamconfig.put(
         kv, "altamaha", text.replace("15000", "9000"), current.revision
     )
     with pytest.raises(errors.KvConflictError):
       await teamconfig.put(
           kv, "altamaha", text.replace("15000", "8000"), current.revision
       )
-    await steering.set_fault("lose_reply")
-    lost = await teamconfig.put(
-        kv, "altamaha", text.replace("15000", "7000"), first
+    await platform_control.set_fault("lose_reply")
+    lost_revision = await teamconfig.put(
+        kv, "altamaha", text.replace("15000", "7000"), first_revision
     )
-    await steering.set_fault("none")
+    await platform_control.set_fault("none")
     stored = await teamconfig.get(kv, "altamaha")
     await kv.close()
-    await steering.close()
+    await platform_control.close()
     revisions = []
     for _ in range(100):
       dumps = [
           (await cluster.get(n, "/dump")).json() for n in cluster.names("entry")
       ]
       revisions = [d["state"]["teams"]["altamaha"] for d in dumps]
-      if all(r == lost for r in revisions):
+      if all(r == lost_revision for r in revisions):
         break
       await curio.sleep(0.05)
-    return stored, lost, revisions
+    return stored, lost_revision, revisions
 
-  stored, lost, revisions = curio.run(scenario)
-  assert "7000" in stored.text and stored.revision == lost
-  assert revisions == [lost, lost]
+  stored, lost_revision, revisions = curio.run(scenario)
+  assert "7000" in stored.text and stored.revision == lost_revision
+  assert revisions == [lost_revision, lost_revision]
 
 
 def test_resubmission_after_coordinator_kill_starts_no_task_twice(cluster):
@@ -220,21 +222,23 @@
         kind="fuel_release",
         idempotent=False,
     )
-    entries = {n: pool(cluster, n) for n in cluster.names("entry")}
-    first = await curio.spawn(caller.submit, entries["entry-1"], submitted_job)
+    entry_pools = {n: pool(cluster, n) for n in cluster.names("entry")}
+    first = await curio.spawn(
+        caller.submit, entry_pools["entry-1"], submitted_job
+    )
     await curio.sleep(0.3)
     coordinator = await find_coordinator(cluster)
     cluster.signal(coordinator, signal.SIGKILL)
-    other = next(n for n in entries if n != coordinator)
+    other = next(n for n in entry_pools if n != coordinator)
     await curio.sleep(4.0)  # The coordinator's lease (3 s) expires; keys move.
-    again = await caller.submit(entries[other], submitted_job)
+    resubmitted = await caller.submit(entry_pools[other], submitted_job)
     await first.cancel()
-    return submitted_job, again, await starts(cluster)
+    return submitted_job, resubmitted, await starts(cluster)
 
-  submitted_job, again, start_counts = curio.run(scenario)
-  assert again.answer is not None and len(again.answer.tasks) == len(
-      submitted_job.tasks
-  )
+  submitted_job, resubmitted, start_counts = curio.run(scenario)
+  assert resubmitted.answer is not None and len(
+      resubmitted.answer.tasks
+  ) == len(submitted_job.tasks)
   assert all(
       start_counts.get(f"{submitted_job.key}/t{i}", 0) <= 1 for i in range(6)
   )
@@ -252,36 +256,47 @@
 def test_coordinator_paused_past_its_lease_repeats_nothing(cluster):
   async def scenario():
     submitted_job = fuel_release_job("freeze")
-    entries = {n: pool(cluster, n) for n in cluster.names("entry")}
-    first = await curio.spawn(caller.submit, entries["entry-1"], submitted_job)
+    entry_pools = {n: pool(cluster, n) for n in cluster.names("entry")}
+    first = await curio.spawn(
+        caller.submit, entry_pools["entry-1"], submitted_job
+    )
     await curio.sleep(0.3)
     cluster.signal("entry-1", signal.SIGSTOP)
     await curio.sleep(4.5)  # Its lease (3 s) expires.
-    meanwhile = await caller.submit(entries["entry-2"], submitted_job)
-    other = await caller.submit(entries["entry-2"], job("other", run_ms=100))
+    meanwhile = await caller.submit(entry_pools["entry-2"], submitted_job)
+    other = await caller.submit(
+        entry_pools["entry-2"], job("other", run_ms=100)
+    )
     cluster.signal("entry-1", signal.SIGCONT)
     late = await first.join()
     await cluster.wait_entry_ready("entry-1")
-    again = await caller.submit(entries["entry-1"], submitted_job)
-    return submitted_job, meanwhile, other, late, again, await starts(cluster)
+    resubmitted = await caller.submit(entry_pools["entry-1"], submitted_job)
+    return (
+        submitted_job,
+        meanwhile,
+        other,
+        late,
+        resubmitted,
+        await starts(cluster),
+    )
 
-  submitted_job, meanwhile, other, late, again, start_counts = curio.run(
+  submitted_job, meanwhile, other, late, resubmitted, start_counts = curio.run(
       scenario
   )
   assert_each_started_at_most_once(submitted_job, start_counts)
   assert all(t.ran == codes.Ran.UNKNOWN for t in meanwhile.answer.tasks)
   assert other.answer.complete
-  assert late.answer == again.answer and len(late.answer.tasks) == 6
+  assert late.answer == resubmitted.answer and len(late.answer.tasks) == 6
 
 
 def test_same_key_at_both_entry_hosts_at_once_starts_once(cluster):
   async def scenario():
     jobs = [fuel_release_job(f"both-{i}", run_ms=200) for i in range(10)]
-    entries = [pool(cluster, n) for n in cluster.names("entry")]
+    entry_pools = [pool(cluster, n) for n in cluster.names("entry")]
     tasks = [
-        await curio.spawn(caller.submit, entry, j)
+        await curio.spawn(caller.submit, entry_pool, j)
         for j in jobs
-        for entry in entries
+        for entry_pool in entry_pools
     ]
     results = [await t.join() for t in tasks]
     return jobs, results, await starts(cluster)
@@ -298,29 +313,29 @@
 
 def test_entry_host_killed_while_the_platform_is_down(cluster):
   async def scenario():
-    kv = control.PlatformControl(cluster.platform)
+    platform_control = control.PlatformControl(cluster.platform)
     done = await caller.submit(
         pool(cluster, "entry-1"), fuel_release_job("o", 100)
     )
-    await kv.set_fault("down")
+    await platform_control.set_fault("down")
     await curio.sleep(4.0)  # All leases expire by their holders' clocks.
     cluster.signal("entry-1", signal.SIGKILL)
     cluster.wait("entry-1")
-    entry2 = pool(cluster, "entry-2")
-    again = await caller.submit(entry2, fuel_release_job("o", 100))
-    new = await caller.submit(entry2, job("outage-new", run_ms=100))
-    await kv.set_fault("none")
+    entry2_pool = pool(cluster, "entry-2")
+    resubmitted = await caller.submit(entry2_pool, fuel_release_job("o", 100))
+    new = await caller.submit(entry2_pool, job("outage-new", run_ms=100))
+    await platform_control.set_fault("none")
     cluster.spawn("entry-1")
     await cluster.wait_entry_ready("entry-1")
     after = await caller.submit(
         pool(cluster, "entry-1"), fuel_release_job("o", 100)
     )
-    await kv.close()
-    return done, again, new, after, await starts(cluster)
+    await platform_control.close()
+    return done, resubmitted, new, after, await starts(cluster)
 
-  done, again, new, after, start_counts = curio.run(scenario)
+  done, resubmitted, new, after, start_counts = curio.run(scenario)
   assert done.answer.complete and new.answer.complete
-  assert again.answer == done.answer == after.answer
+  assert resubmitted.answer == done.answer == after.answer
   assert_each_started_at_most_once(fuel_release_job("o", 100), start_counts)
 
 
@@ -336,11 +351,13 @@
       cluster.wait(name)
       cluster.spawn(name)
       await cluster.wait_entry_ready(name)
-    again = [await caller.submit(pool(cluster, "entry-1"), j) for j in jobs]
-    return jobs, first, again, await starts(cluster)
+    resubmitted = [
+        await caller.submit(pool(cluster, "entry-1"), j) for j in jobs
+    ]
+    return jobs, first, resubmitted, await starts(cluster)
 
-  jobs, first, again, start_counts = curio.run(scenario)
-  assert [r.answer for r in again] == [r.answer for r in first]
+  jobs, first, resubmitted, start_counts = curio.run(scenario)
+  assert [r.answer for r in resubmitted] == [r.answer for r in first]
   for submitted_job in jobs:
     assert all(
         start_counts[f"{submitted_job.key}/{t.task_id}"] == 1
@@ -352,21 +369,23 @@
   async def scenario():
     jobs = [fuel_release_job(f"wave-{i}", run_ms=4000) for i in range(30)]
     late = [fuel_release_job(f"late-{i}", run_ms=100) for i in range(10)]
-    entries = [pool(cluster, n) for n in cluster.names("entry")]
+    entry_pools = [pool(cluster, n) for n in cluster.names("entry")]
     running = [
-        await curio.spawn(caller.submit, entries[i % 2], j)
+        await curio.spawn(caller.submit, entry_pools[i % 2], j)
         for i, j in enumerate(jobs)
     ]
     await curio.sleep(0.5)
     cancels = [
-        await curio.spawn(caller.cancel, entries[(i + 1) % 2], j.team, j.key)
+        await curio.spawn(
+            caller.cancel, entry_pools[(i + 1) % 2], j.team, j.key
+        )
         for i, j in enumerate(jobs + late)
     ]
     acks = [await c.join() for c in cancels]
     results = [await r.join() for r in running]
     before = await starts(cluster)
     cluster.signal("entry-1", signal.SIGKILL)
-    resubmitted = [await caller.submit(entries[1], j) for j in late]
+    resubmitted = [await caller.submit(entry_pools[1], j) for j in late]
     await curio.sleep(1.0)
     return acks, results, resubmitted, before, await starts(cluster)
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -48,9 +48,9 @@
   peers.run_rounds(2)
   assert_started_once(peers, key)
   peers.crash("c")
-  again = peers.submit("d", key)
+  retry = peers.submit("d", key)
   peers.run_rounds()
-  answer = peers.answer(again)
+  answer = peers.answer(retry)
   assert_started_once(peers, key)
   assert {t.code for t in answer.tasks} == {codes.Code.TASK_UNKNOWN_OWNER_LOST}
   assert answer.retry_after_s >= 1
@@ -62,9 +62,9 @@
   first = peers.submit("c", key)
   peers.run_rounds(2)
   peers.crash("c")
-  again = peers.submit("d", key)
+  retry = peers.submit("d", key)
   peers.run_rounds()
-  assert peers.answer(again) == peers.answer(first)
+  assert peers.answer(retry) == peers.answer(first)
   assert_started_once(peers, key)
 
 
@@ -76,13 +76,13 @@
   peers.expire_member("c")
   for name in "abd":
     peers.deliver_view(name)
-  again = peers.submit("d", key)
+  retry = peers.submit("d", key)
   peers.run_rounds(0)
   for _ in range(20):
     while peers.in_transit:
       peers.deliver(0)
     peers.tick(names="abd")
-  assert peers.answer(again).complete
+  assert peers.answer(retry).complete
   peers.in_transit = delayed  # c resumes, with its old view.
   while peers.in_transit:
     peers.deliver(0)
@@ -115,9 +115,9 @@
     peers.crash(name)
     peers.expire_member(name)
   peers.run_rounds()
-  again = peers.submit("d", key)
+  retry = peers.submit("d", key)
   peers.run_rounds()
-  assert peers.answer(again).complete
+  assert peers.answer(retry).complete
   assert_started_once(peers, key)
 
 
@@ -129,9 +129,9 @@
     peers.join(name)
   peers.run_rounds()
   for name in "cdefgh":
-    again = peers.submit(name)
+    retry = peers.submit(name)
     peers.run_rounds()
-    assert peers.answer(again).complete
+    assert peers.answer(retry).complete
   assert_started_once(peers)
 
 
@@ -147,13 +147,13 @@
     while peers.views[name]:
       peers.deliver_view(name)
   syncs, peers.in_transit = peers.in_transit, []
-  again = peers.submit("d", key)
+  retry = peers.submit("d", key)
   while peers.in_transit:
     peers.deliver(0)
-  assert again not in peers.outcomes
+  assert retry not in peers.outcomes
   peers.in_transit = syncs
   peers.run_rounds()
-  assert peers.answer(again).complete
+  assert peers.answer(retry).complete
   assert_started_once(peers, key)
 
 
@@ -172,10 +172,10 @@
   peers.crash("c")
   peers.expire_member("c")
   peers.run_rounds()
-  again = peers.submit("d", key)
+  retry = peers.submit("d", key)
   peers.run_rounds()
   assert_started_once(peers, key)
-  assert peers.answer(again).job_id == peers.answer(first).job_id
+  assert peers.answer(retry).job_id == peers.answer(first).job_id
 
 
 def test_loss_of_a_whole_rack_loses_no_claim():
@@ -194,11 +194,11 @@
     for name in [n for n, rack in racks.items() if rack == lost]:
       peers.expire_member(name)
     peers.run_rounds(10)
-    again = {k: peers.submit(next(iter(peers.hosts)), k) for k in keys}
+    retries = {k: peers.submit(next(iter(peers.hosts)), k) for k in keys}
     peers.run_rounds(10)
     for key in keys:
       assert_started_once(peers, key)
-      assert peers.answer(again[key]).complete
+      assert peers.answer(retries[key]).complete
 
 
 def test_peer_promises_replace_leases_in_a_platform_outage():
@@ -208,9 +208,9 @@
   peers.run_rounds(2)
   peers.tick(10 * fakepeers.TTL_S)
   peers.run_rounds()
-  done = peers.submit("a", "during")
+  request = peers.submit("a", "during")
   peers.run_rounds()
-  assert peers.answer(done).complete
+  assert peers.answer(request).complete
 
 
 def test_host_partitioned_from_the_platform_alone_blocks_no_other():
@@ -226,9 +226,9 @@
   assert not peers.hosts["a"].membership.may_accept_claims(peers.now)
   peers.expire_member("a")
   peers.run_rounds(5)
-  done = peers.submit("b")
+  request = peers.submit("b")
   peers.run_rounds(5)
-  assert peers.answer(done).complete
+  assert peers.answer(request).complete
 
 
 def test_hosts_partitioned_past_their_lease_start_nothing():
@@ -249,13 +249,13 @@
     while peers.in_transit:
       peers.deliver(0)
     peers.tick(0.1)
-  here, there = peers.submit("c", key), peers.submit("a", key)
+  request_at_c, request_at_a = peers.submit("c", key), peers.submit("a", key)
   for _ in range(100):
     while peers.in_transit:
       peers.deliver(0)
     peers.tick(0.1)
-  assert peers.answer(here).complete
-  assert peers.outcomes[there].error.code == codes.Code.NO_OWNER
+  assert peers.answer(request_at_c).complete
+  assert peers.outcomes[request_at_a].error.code == codes.Code.NO_OWNER
   assert_started_once(peers, key)
 
 
@@ -274,14 +274,14 @@
   peers.put_member("a")
   while peers.views["a"]:
     peers.deliver_view("a")
-  again = peers.submit("a", key)
+  retry = peers.submit("a", key)
   for _ in range(5):
     peers.tick(names="a")
-  assert again not in peers.outcomes
+  assert retry not in peers.outcomes
   for name in "bc":
     peers.put_member(name)
   peers.run_rounds()
-  assert peers.answer(again).complete
+  assert peers.answer(retry).complete
   assert_started_once(peers, key)
 
 
--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -11,6 +11,7 @@
 import pytest
 
 SPECS = pathlib.Path(__file__).parent.parent / "spec"
+# Assertions of the models, as spin prints them when they are violated.
 ONE_RUN = "!(running["
 NONE_LEFT = "( !(running[0])&& !(running[1]))"
 ONE_DATA_CENTRE = "!(running[(1-s)])"
