--- a/fescueturn/events.py
+++ b/fescueturn/events.py
@@ -263,7 +263,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Drained:
-  """No work is in flight any more; the shell may stop."""
+  """All work in flight has ended; the shell may stop."""
 
 
 Effect = (
--- a/fescueturn/messages.py
+++ b/fescueturn/messages.py
@@ -79,7 +79,7 @@
 
   @property
   def ran(self) -> codes.Ran:
-    """Whether the task ran, according to its code."""
+    """What the code proves: the task ran, did not run, or this is unknown."""
     return codes.task_ran(self.code)
 
 
@@ -103,7 +103,7 @@
 
   @property
   def complete(self) -> bool:
-    """Whether every task ran and returned its result."""
+    """True if every task ran and returned its result."""
     return self.code == codes.Code.JOB_COMPLETE
 
 
--- a/tests/test_entry_failures.py
+++ b/tests/test_entry_failures.py
@@ -263,7 +263,9 @@
     await curio.sleep(0.3)
     cluster.signal("entry-1", signal.SIGSTOP)
     await curio.sleep(4.5)  # Its lease (3 s) expires.
-    meanwhile = await caller.submit(entry_pools["entry-2"], submitted_job)
+    result_while_paused = await caller.submit(
+        entry_pools["entry-2"], submitted_job
+    )
     other = await caller.submit(
         entry_pools["entry-2"], job("other", run_ms=100)
     )
@@ -273,18 +275,20 @@
     resubmitted = await caller.submit(entry_pools["entry-1"], submitted_job)
     return (
         submitted_job,
-        meanwhile,
+        result_while_paused,
         other,
         late,
         resubmitted,
         await starts(cluster),
     )
 
-  submitted_job, meanwhile, other, late, resubmitted, start_counts = curio.run(
-      scenario
+  submitted_job, result_while_paused, other, late, resubmitted, start_counts = (
+      curio.run(scenario)
   )
   assert_each_started_at_most_once(submitted_job, start_counts)
-  assert all(t.ran == codes.Ran.UNKNOWN for t in meanwhile.answer.tasks)
+  assert all(
+      t.ran == codes.Ran.UNKNOWN for t in result_while_paused.answer.tasks
+  )
   assert other.answer.complete
   assert late.answer == resubmitted.answer and len(late.answer.tasks) == 6
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -61,7 +61,7 @@
     return kvtypes.Changes(self.store.revision, tuple(changes))
 
 
-class _Events(list):
+class _AppliedEvents(list):
 
   async def apply(self, event):
     self.append(event)
@@ -80,12 +80,12 @@
 
 
 def test_failed_member_write_is_retried():
-  kv, seen = _FakeKv(), _Events()
+  kv, applied = _FakeKv(), _AppliedEvents()
   kv.replies_to_lose, kv.apply_lost_writes = 2, False
   keeper = membership.LeaseKeeper(kv, "dc", ME, 0.06, lambda: 100.0)
 
   async def scenario():
-    task = await curio.spawn(keeper.run, seen.apply, backoff())
+    task = await curio.spawn(keeper.run, applied.apply, backoff())
     await until(lambda: kv.store.get("/members/dc/entry-1"))
     await task.cancel()
 
@@ -93,32 +93,32 @@
   item = kv.store.get("/members/dc/entry-1")
   member = membership.parse_member(item.key, item.value)
   assert (member.boot, member.lease) == ("boot-1", keeper.lease)
-  assert seen[0] == events.LeaseRenewed(keeper.lease, 100.06)
+  assert applied[0] == events.LeaseRenewed(keeper.lease, 100.06)
 
 
 def test_member_changes_are_applied_one_by_one_without_invalid_ones():
-  kv, seen = _FakeKv(), _Events()
+  kv, applied = _FakeKv(), _AppliedEvents()
 
   async def scenario():
     task = await curio.spawn(
-        membership.members_loop, kv, "dc", seen.apply, backoff()
+        membership.members_loop, kv, "dc", applied.apply, backoff()
     )
-    await until(lambda: seen)
+    await until(lambda: applied)
     key = membership.member_key("dc", PEER.name)
     kv.store.put(key, membership.member_value(PEER))
     kv.store.put("/members/dc/odd", b"not json")
     kv.store.transact(kvtypes.Transaction(removes=(key,)))
-    await until(lambda: len(seen) == 4)
+    await until(lambda: len(applied) == 4)
     await task.cancel()
 
   curio.run(scenario)
-  assert seen[0] == events.MembersChanged((), gap=True)
-  assert [e.members for e in seen[1:]] == [(PEER,), (PEER,), ()]
-  assert not any(e.gap for e in seen[1:])
+  assert applied[0] == events.MembersChanged((), gap=True)
+  assert [e.members for e in applied[1:]] == [(PEER,), (PEER,), ()]
+  assert not any(e.gap for e in applied[1:])
 
 
 def test_team_removed_while_the_watch_failed_is_removed():
-  kv, seen = _FakeKv(), _Events()
+  kv, applied = _FakeKv(), _AppliedEvents()
   key = membership.team_key("altamaha")
   kv.store.put(key, TEAM_TEXT)
   removal = kvtypes.Transaction(removes=(key,))
@@ -126,15 +126,15 @@
 
   async def scenario():
     task = await curio.spawn(
-        membership.teams_loop, kv, seen.apply, backoff(), 0.0
+        membership.teams_loop, kv, applied.apply, backoff(), 0.0
     )
-    await until(lambda: len(seen) == 2)
+    await until(lambda: len(applied) == 2)
     await task.cancel()
 
   curio.run(scenario)
-  assert seen[0].team_settings.service == "speller"
-  assert seen[1].team_settings is None
-  assert seen[1].revision > seen[0].revision
+  assert applied[0].team_settings.service == "speller"
+  assert applied[1].team_settings is None
+  assert applied[1].revision > applied[0].revision
 
 
 def test_settings_take_effect_within_five_seconds_if_a_watch_goes_unanswered():
@@ -149,7 +149,7 @@
 
   async def scenario():
     task = await curio.spawn(
-        membership.teams_loop, Silent(), _Events().apply, backoff(), 0.0
+        membership.teams_loop, Silent(), _AppliedEvents().apply, backoff(), 0.0
     )
     await until(lambda: waits_ms)
     await task.cancel()
