--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -92,6 +92,20 @@
       acknowledged_done: set[model.Task],
       clock_offset_ms: int = 500_000,
   ):
+    """Creates a reachable endpoint without faults.
+
+    Args:
+      info: the endpoint as the store's endpoint list shows it.
+      clock: the virtual clock.
+      profile_of: returns a task's actual behaviour.
+      broken: the list to which violations of invariants are added.
+      running_on: by task, the endpoints on which a run of it is active; all
+        endpoints of a fleet share it.
+      acknowledged_done: tasks that a holder has acknowledged as done; all
+        endpoints of a fleet share it.
+      clock_offset_ms: the time (ms) by which the endpoint's own clock is ahead
+        of the virtual one.
+    """
     self.info = info
     self.dark = False
     self.slowdown = 1.0
@@ -108,7 +122,6 @@
     self._profile_of = profile_of
     self._broken = broken
     self._running_on = running_on
-    # Tasks that a holder has acknowledged as done.
     self._acknowledged_done = acknowledged_done
     self._offset_ms = clock_offset_ms
     # Earlier capacities, each with the time until which it may still be used.
@@ -116,6 +129,7 @@
     self._fence = 0
     self._lease_end_ms = 0
     self._runs: dict[model.RunId, _Run] = {}
+    # Results that no holder has acknowledged yet.
     self._ended: list[model.EndedRun] = []
     self._ended_count = 0
     # By task, the highest attempt that was ended or stopped; neither it nor an
@@ -294,7 +308,7 @@
     self._expire_lease()
     if call.deadline_ms is not None:
       self._extend_lease(call.deadline_ms)
-    self._acknowledge_ends(call.last_seen)
+    self._acknowledge_results(call.last_seen)
     if self._ended or not call.wait_ms:
       answer(self._lease_answer(call, model.CallResult.OK))
       return
@@ -308,7 +322,7 @@
     self._pending_replies.append(answer_once)
     self._clock.after(call.wait_ms / 1000, answer_once)
 
-  def _acknowledge_ends(self, last_seen: int):
+  def _acknowledge_results(self, last_seen: int):
     for ended in self._ended:
       if ended.number <= last_seen and ended.how is model.RunOutcome.DONE:
         self._acknowledged_done.add(ended.run.task)
--- a/fescueturn/lab/faultbench.py
+++ b/fescueturn/lab/faultbench.py
@@ -39,6 +39,7 @@
 FAULT_FOR_S = 5.0
 ATTEMPTS = 6
 RESUBMIT_AFTER_S = 0.2
+# The modes' names and the lines that they add to the entry hosts' settings.
 MODES = (("claims", ""), ("naive", "naive = true\n"))
 
 Fault = Callable[[launcher.Launcher, control.PlatformControl], Awaitable[None]]
@@ -140,7 +141,11 @@
 async def _submit_with_retries(
     pools, rng, job: messages.Job
 ) -> caller.Result | None:
-  """Submits a job, repeatedly if its answer is lost or it is refused."""
+  """Submits a job, with retries after a lost reply or a retry-after header.
+
+  Returns:
+    The last reply, or None if none arrived in `ATTEMPTS` attempts.
+  """
   result = None
   for _ in range(ATTEMPTS):
     try:
@@ -193,7 +198,7 @@
   )
 
 
-async def _scenario(scenario: str, mode: str, options: str) -> Row:
+async def _run_scenario(scenario: str, mode: str, options: str) -> Row:
   with tempfile.TemporaryDirectory(prefix="fescueturn-faults-") as workdir:
     cluster = launcher.Launcher(
         workdir, ENTRIES, ENDPOINTS, entry_options=options
@@ -250,7 +255,7 @@
   rows = []
   for name in names:
     for mode, options in MODES:
-      rows.append(await _scenario(name, mode, options))
+      rows.append(await _run_scenario(name, mode, options))
   return rows
 
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -5,7 +5,7 @@
 from fescueturn.scheduler import model
 
 NEED = model.Resources(27000, 64, 0)
-ZONES = ("a", "b", "c")
+DATA_CENTRES = ("a", "b", "c")
 
 
 def job(name: str, count: int, run_ms: int, slo_ms: int = 60) -> model.Job:
@@ -22,22 +22,27 @@
     seed: the seed of all random choices.
   """
   new_fleet = fleet_lib.Fleet(seed)
-  for zone in ZONES:
+  for data_centre in DATA_CENTRES:
     for number in range(hosts):
-      new_fleet.add_host(f"{zone}{number}", zone)
+      new_fleet.add_host(f"{data_centre}{number}", data_centre)
     for number in range(endpoints):
       cpu = 96000 if number % 3 == 2 else 64000
-      new_fleet.add_endpoint(f"e-{zone}{number}", zone, cpu)
+      new_fleet.add_endpoint(f"e-{data_centre}{number}", data_centre, cpu)
   new_fleet.clock.run_until(1.0)
   return new_fleet
 
 
-def owner_of(fleet: fleet_lib.Fleet, zone: str) -> hosts_lib.EmulatedHost:
+def owner_of(
+    fleet: fleet_lib.Fleet, data_centre: str
+) -> hosts_lib.EmulatedHost:
   """Returns the running host that owns a data centre's shard."""
   owners = [
       h
       for h in fleet.hosts.values()
-      if h.up and not h.frozen and h.data_centre == zone and h.state.owners
+      if h.up
+      and not h.frozen
+      and h.data_centre == data_centre
+      and h.state.owners
   ]
   assert len(owners) == 1
   return owners[0]
@@ -92,5 +97,5 @@
   return counts
 
 
-def zone_hosts(fleet, zone):
-  return [h for h in fleet.hosts.values() if h.data_centre == zone]
+def hosts_in(fleet, data_centre):
+  return [h for h in fleet.hosts.values() if h.data_centre == data_centre]
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -67,7 +67,7 @@
     when = made.rng.uniform(0.3, 1.5) * (number + 1)
 
     def kill():
-      holders = [h for h in fleets.zone_hosts(made, "a") if h.state.owners]
+      holders = [h for h in fleets.hosts_in(made, "a") if h.state.owners]
       for host in holders:
         made.kill(host.name)
         made.clock.after(0.5, lambda h=host: made.add_host(h.name, "a"))
@@ -95,7 +95,7 @@
 
 def test_job_succeeds_although_another_job_crashes_its_endpoints():
   made = fleets.fleet(seed=3)
-  requests = fleets.submit_load(made, fleets.zone_hosts(made, "a"), 8, 10)
+  requests = fleets.submit_load(made, fleets.hosts_in(made, "a"), 8, 10)
   for number in range(3):
     made.clock.at(
         2.0 + number,
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -46,12 +46,12 @@
   emulation = fleets.fleet()
   emulation.evacuate("a")
   emulation.clock.run_until(1.2)
-  fleets.submit_load(emulation, fleets.zone_hosts(emulation, "a"), 1.0, 20)
+  fleets.submit_load(emulation, fleets.hosts_in(emulation, "a"), 1.0, 20)
   emulation.clock.run_until(2.4)
   assert not starts_in(emulation, "a")
   emulation.evacuate("a", wanted=False)
   emulation.clock.run_until(2.5)
-  fleets.submit_load(emulation, fleets.zone_hosts(emulation, "a"), 1.0, 20, "k")
+  fleets.submit_load(emulation, fleets.hosts_in(emulation, "a"), 1.0, 20, "k")
   emulation.clock.run_until(4.0)
   assert starts_in(emulation, "a")
 
@@ -104,10 +104,10 @@
 
 def test_job_is_refused_at_once_when_every_data_centre_is_evacuated():
   emulation = fleets.fleet()
-  for zone in fleets.ZONES:
+  for zone in fleets.DATA_CENTRES:
     emulation.evacuate(zone)
   emulation.clock.run_until(1.1)
-  before = sum(starts_in(emulation, zone) for zone in fleets.ZONES)
+  before = sum(starts_in(emulation, zone) for zone in fleets.DATA_CENTRES)
   job = fleets.job("j", 2, 100)
   request = emulation.submit("a0", job, [0.1] * 2)
   emulation.clock.run_until(1.2)
@@ -116,7 +116,9 @@
   assert answered.answer.reason == "evacuated"
   assert answered.answer.retry_after_s >= 5
   assert answered.took_s < 0.05
-  assert sum(starts_in(emulation, zone) for zone in fleets.ZONES) == before
+  assert (
+      sum(starts_in(emulation, zone) for zone in fleets.DATA_CENTRES) == before
+  )
 
 
 def test_next_holder_of_an_evacuated_data_centre_starts_nothing():
@@ -177,7 +179,7 @@
       emulation, list(emulation.hosts.values()), last, 40
   )
   test_random_faults.Faults(emulation, seed).plan()
-  for zone in rng.sample(fleets.ZONES, 2):
+  for zone in rng.sample(fleets.DATA_CENTRES, 2):
     begin = rng.uniform(1.5, last - 4)
     emulation.clock.at(begin, lambda zone=zone: emulation.evacuate(zone))
     end = begin + rng.uniform(0.2, 5.0)
--- a/tests/test_evacuation_kept.py
+++ b/tests/test_evacuation_kept.py
@@ -88,7 +88,7 @@
   emulation = fleets.fleet()
   emulation.submit("a0", two_steps("j"), [0.2] * 5, 3.0)
   emulation.clock.run_until(1.1)
-  for zone in fleets.ZONES:
+  for zone in fleets.DATA_CENTRES:
     emulation.evacuate(zone)
   emulation.clock.run_until(4.0)
   assert emulation.kept_store.states["j"] is model.KeptJobState.OPEN
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -48,7 +48,7 @@
 
 
 def hosts_of_zone(emulation, zone: str):
-  return lambda: fleets.zone_hosts(emulation, zone)
+  return lambda: fleets.hosts_in(emulation, zone)
 
 
 def all_hosts(emulation):
@@ -135,7 +135,7 @@
   emulation = fleets.fleet(seed=seed)
   emulation.kept_load_delay_s = 0.3
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 3, 30
+      emulation, fleets.hosts_in(emulation, "a"), 3, 30
   )
   submitted = load(emulation, hosts_of_zone(emulation, "a"), 3, 10)
   owner = fleets.owner_of(emulation, "a")
@@ -170,7 +170,7 @@
 def test_frozen_owner_that_wakes_writes_nothing_more(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   submitted = load(emulation, lambda: others, 4, 20)
   emulation.clock.at(2.0, lambda: setattr(owner, "frozen", True))
   emulation.clock.at(4.5, owner.thaw)
--- a/tests/test_new_holder.py
+++ b/tests/test_new_holder.py
@@ -11,7 +11,7 @@
   """Drains the holder of data centre a; returns the next one at once."""
   owner = fleets.owner_of(emulation, "a")
   owner.apply(events.DrainStarted())
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   while not any(h.state.owners for h in others):
     emulation.clock.run_until(emulation.clock.now + 0.0001)
   return fleets.owner_of(emulation, "a")
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -82,7 +82,7 @@
     self._after_random_delay(lambda: host.partitioned_from.discard("store"))
 
   def fault_claim_expires(self):
-    self._fleet.delete_claim(model.Shard(self._rng.choice(fleets.ZONES)))
+    self._fleet.delete_claim(model.Shard(self._rng.choice(fleets.DATA_CENTRES)))
 
   def fault_entries_expire(self):
     expired = self._random_subset(self._names)
@@ -92,7 +92,7 @@
     )
 
   def fault_endpoint_joins(self):
-    zone = self._rng.choice(fleets.ZONES)
+    zone = self._rng.choice(fleets.DATA_CENTRES)
     self._fleet.add_endpoint(f"new-{self._rng.random()}", zone)
 
   def fault_endpoint_goes_silent(self):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -156,7 +156,7 @@
   made = fleets.fleet(seed=seed)
   made.clock.run_until(4.0)  # The first holders have recovered.
   owner = fleets.owner_of(made, "a")
-  others = [h for h in fleets.zone_hosts(made, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(made, "a") if h is not owner]
   requests = fleets.submit_load(made, others, 4, 40)
   made.clock.at(6.0, lambda: made.kill(owner.name))
   made.clock.run_until(12)
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -11,7 +11,7 @@
 def test_one_host_in_each_data_centre_owns_its_endpoints():
   emulation = fleets.fleet()
   fences = set()
-  for zone in fleets.ZONES:
+  for zone in fleets.DATA_CENTRES:
     (owner,) = fleets.owner_of(emulation, zone).state.owners.values()
     assert set(owner.endpoints) == {f"e-{zone}{n}" for n in range(8)}
     fences.add(owner.fence)
@@ -36,7 +36,7 @@
 def test_takeover_from_a_live_owner_starts_no_task_twice(seed):
   emulation = fleets.fleet(seed=seed)
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 6, 40
+      emulation, fleets.hosts_in(emulation, "a"), 6, 40
   )
   owner = fleets.owner_of(emulation, "a")
   # The owner is cut off from the store: its claim expires and another host
@@ -53,7 +53,7 @@
 def test_killed_owner_is_replaced_and_its_runs_are_adopted(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   requests = fleets.submit_load(emulation, others, 6, 40)
   emulation.clock.at(3.0, lambda: emulation.kill(owner.name))
   emulation.clock.run_until(12)
@@ -68,7 +68,7 @@
 def test_frozen_owner_is_fenced_off_when_it_wakes(seed):
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   requests = fleets.submit_load(emulation, others, 8, 40)
   emulation.clock.at(3.0, lambda: setattr(owner, "frozen", True))
   emulation.clock.at(6.0, owner.thaw)
@@ -113,7 +113,7 @@
 
 def test_draining_endpoint_gets_no_new_task():
   emulation = fleets.fleet()
-  fleets.submit_load(emulation, fleets.zone_hosts(emulation, "a"), 8, 30)
+  fleets.submit_load(emulation, fleets.hosts_in(emulation, "a"), 8, 30)
   emulation.clock.at(3.0, lambda: emulation.drain("e-a0"))
   emulation.clock.run_until(4.2)
   before = len(emulation.endpoints["e-a0"].starts)
@@ -148,7 +148,7 @@
   emulation = fleets.fleet()
   owner = fleets.owner_of(emulation, "a")
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 4, 30
+      emulation, fleets.hosts_in(emulation, "a"), 4, 30
   )
   emulation.clock.at(2.0, lambda: emulation.delete_claim(model.Shard("a")))
   emulation.clock.run_until(8)
@@ -190,7 +190,7 @@
   emulation = fleets.fleet()
   emulation.endpoints["e-a0"].hanging = True
   requests = fleets.submit_load(
-      emulation, fleets.zone_hosts(emulation, "a"), 6, 30
+      emulation, fleets.hosts_in(emulation, "a"), 6, 30
   )
   emulation.clock.run_until(12)
   assert emulation.broken == []
@@ -203,7 +203,7 @@
   """A new holder's first endpoint list may lack some that run its tasks."""
   emulation = fleets.fleet(seed=seed)
   owner = fleets.owner_of(emulation, "a")
-  others = [h for h in fleets.zone_hosts(emulation, "a") if h is not owner]
+  others = [h for h in fleets.hosts_in(emulation, "a") if h is not owner]
   fleets.submit_load(emulation, others, 6, 60)
   emulation.clock.at(
       2.9, lambda: emulation.unlisted.update(("e-a0", "e-a1", "e-a2"))
@@ -227,7 +227,7 @@
       emulation, list(emulation.hosts.values()), 1.0, 60
   )
   emulation.clock.run_until(1.6)
-  assert all(fleets.owner_of(emulation, zone) for zone in fleets.ZONES)
+  assert all(fleets.owner_of(emulation, zone) for zone in fleets.DATA_CENTRES)
   emulation.clock.run_until(6)
   assert emulation.broken == []
   found = fleets.count_outcomes(emulation, requests)
@@ -296,7 +296,7 @@
   emulation = fleets.fleet(seed=seed)
   hosts = list(emulation.hosts.values())
   requests = fleets.submit_load(emulation, hosts, 8, 70)
-  for number, zone in enumerate(fleets.ZONES * 2):
+  for number, zone in enumerate(fleets.DATA_CENTRES * 2):
     when = 1.5 + number
 
     def stop(zone=zone):
@@ -377,7 +377,7 @@
 
 def test_job_waits_in_the_data_centre_with_the_shortest_wait():
   emulation = fleets.fleet()
-  for zone, run_ms in zip(fleets.ZONES, (200, 100, 200), strict=True):
+  for zone, run_ms in zip(fleets.DATA_CENTRES, (200, 100, 200), strict=True):
     filling = fleets.job(f"fill-{zone}", 18, run_ms)
     emulation.submit(f"{zone}0", filling, [run_ms / 1000] * 18)
   emulation.clock.run_until(1.05)
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -60,7 +60,7 @@
   emulation.clock.run_until(4.0)
   holders = [
       h
-      for h in fleets.zone_hosts(emulation, "a")
+      for h in fleets.hosts_in(emulation, "a")
       if h.state.owners and h != old_holder
   ]
   assert len(holders) == 1
@@ -84,7 +84,7 @@
 def test_data_centre_cut_off_from_the_others_keeps_its_holder():
   emulation = fleets.fleet()
   old_holder = fleets.owner_of(emulation, "a")
-  local_hosts = fleets.zone_hosts(emulation, "a")
+  local_hosts = fleets.hosts_in(emulation, "a")
   for host in local_hosts:
     host.partitioned_from.update(
         n for n in emulation.hosts if not n.startswith("a")
