--- a/fescueturn/emulator/load.py
+++ b/fescueturn/emulator/load.py
@@ -123,7 +123,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class _SubmittedJob:
-  """A submitted job."""
+  """A submitted job.
+
+  Attributes:
+    kind: its kind.
+    request: its request's number in the fleet.
+    objective_s: its latency objective (s).
+  """
 
   kind: Kind
   request: int
--- a/fescueturn/standins/kvstore.py
+++ b/fescueturn/standins/kvstore.py
@@ -124,7 +124,9 @@
     if self._lease_expiry.pop(lease, None) is None:
       return False
     self.revision += 1
-    for key in [k for k, of_key in self._lease_of.items() if of_key == lease]:
+    for key in [
+        k for k, key_lease in self._lease_of.items() if key_lease == lease
+    ]:
       self._remove(key)
     return True
 
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -33,7 +33,7 @@
 
 
 def owner_of(
-    fleet: fleet_lib.Fleet, data_centre: str
+    fleet: fleet_lib.Fleet, data_centre_name: str
 ) -> hosts_lib.EmulatedHost:
   """Returns the running host that owns a data centre's shard."""
   owners = [
@@ -41,7 +41,7 @@
       for h in fleet.hosts.values()
       if h.up
       and not h.frozen
-      and h.data_centre == data_centre
+      and h.data_centre == data_centre_name
       and h.state.owners
   ]
   assert len(owners) == 1
@@ -97,5 +97,5 @@
   return counts
 
 
-def hosts_in(fleet, data_centre):
-  return [h for h in fleet.hosts.values() if h.data_centre == data_centre]
+def hosts_in(fleet, data_centre_name):
+  return [h for h in fleet.hosts.values() if h.data_centre == data_centre_name]
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -12,6 +12,7 @@
 
 
 async def with_platform(body):
+  """Runs `body` with clients of a new stand-in's store and test paths."""
   address = ports.free_address()
   clock = timer.TimerService(0.02)
   config = settings.PlatformSettings(address)
