--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -14,13 +14,23 @@
 
 MAX_LEASE_MS = 1000
 STOP_DELAY_S = 0.03
-# Time (s) within which holders must respect a capacity that was reduced.
+# Time (s) for which runs may still use an earlier, larger capacity: until then
+# holders must have learnt of the reduction and respect it.
 RESIZE_GRACE_S = 4.5
 
 
 @dataclasses.dataclass
 class _Run:
-  """An active run; times in seconds of virtual time."""
+  """An active run.
+
+  Attributes:
+    id: the task and attempt.
+    need: the resources that it uses.
+    started_at: the virtual time (s) at which it was started.
+    ends_at: the virtual time (s) at which it ends by itself.
+    how: its outcome if it ends by itself.
+    stopping: True once a stop order was accepted.
+  """
 
   id: model.RunId
   need: model.Resources
@@ -82,6 +92,20 @@
       acknowledged_done: set[model.Task],
       clock_offset_ms: int = 500_000,
   ):
+    """Creates a reachable endpoint without faults.
+
+    Args:
+      info: the endpoint as the store's endpoint list shows it.
+      clock: the virtual clock.
+      profile_of: returns a task's actual behaviour.
+      broken: the list to which violations of invariants are added.
+      running_on: by task, the endpoints on which a run of it is active; all
+        endpoints of a fleet share it.
+      acknowledged_done: tasks that a holder has acknowledged as done; all
+        endpoints of a fleet share it.
+      clock_offset_ms: the time (ms) by which the endpoint's own clock is ahead
+        of the virtual one.
+    """
     self.info = info
     self.dark = False
     self.slowdown = 1.0
@@ -98,7 +122,6 @@
     self._profile_of = profile_of
     self._broken = broken
     self._running_on = running_on
-    # Tasks that a holder has acknowledged as done.
     self._acknowledged_done = acknowledged_done
     self._offset_ms = clock_offset_ms
     # Earlier capacities, each with the time until which it may still be used.
@@ -106,6 +129,7 @@
     self._fence = 0
     self._lease_end_ms = 0
     self._runs: dict[model.RunId, _Run] = {}
+    # Results that no holder has acknowledged yet.
     self._ended: list[model.EndedRun] = []
     self._ended_count = 0
     # By task, the highest attempt that was ended or stopped; neither it nor an
@@ -227,8 +251,8 @@
     latest = self.clock_ms + MAX_LEASE_MS
     self._lease_end_ms = max(self._lease_end_ms, min(deadline_ms, latest))
     end_s = (self._lease_end_ms - self._offset_ms) / 1000
-    # The lease expires in the millisecond after its last one; 0.5 ms are added
-    # because `clock_ms` is rounded down.
+    # The lease is still valid in its last millisecond, so it is checked 1 ms
+    # later; 0.5 ms are added because `clock_ms` is rounded down.
     self._clock.at(end_s + 0.0015, self._expire_lease)
 
   def _expire_lease(self):
@@ -238,7 +262,7 @@
       self._end_run(run_id, model.RunOutcome.LOST)
 
   def crash(self):
-    """Stops all runs without reporting their ends and makes it unreachable."""
+    """Drops all runs without reporting them and becomes unreachable."""
     for run_id in list(self._runs):
       del self._runs[run_id]
       self._running_on[run_id.task].discard(self.info.id)
@@ -272,7 +296,7 @@
     Args:
       call: the lease call.
       answer: called with the answer: at once if runs have ended or the call
-        doesn't wait, else when a run ends or the call's wait is over.
+        doesn't wait, else when a run ends or `call.wait_ms` have passed.
     """
     if self.superseded:
       answer(self._lease_answer(call, model.CallResult.GONE))
@@ -284,7 +308,7 @@
     self._expire_lease()
     if call.deadline_ms is not None:
       self._extend_lease(call.deadline_ms)
-    self._acknowledge_ends(call.last_seen)
+    self._acknowledge_results(call.last_seen)
     if self._ended or not call.wait_ms:
       answer(self._lease_answer(call, model.CallResult.OK))
       return
@@ -298,7 +322,7 @@
     self._pending_replies.append(answer_once)
     self._clock.after(call.wait_ms / 1000, answer_once)
 
-  def _acknowledge_ends(self, last_seen: int):
+  def _acknowledge_results(self, last_seen: int):
     for ended in self._ended:
       if ended.number <= last_seen and ended.how is model.RunOutcome.DONE:
         self._acknowledged_done.add(ended.run.task)
--- a/fescueturn/scheduler/host.py
+++ b/fescueturn/scheduler/host.py
@@ -26,10 +26,10 @@
 from fescueturn.scheduler import reducer
 from fescueturn.scheduler import state as state_lib
 
-# Tick period of the scheduler's timer (s): time-outs, which are 60 ms and more,
+# Tick period of the scheduler's timer (s): timeouts, which are 60 ms and more,
 # are late by half of it on average.
 TICK_S = 0.02
-# Tick period of a host that owns no shard and has no job with a time-out soon:
+# Tick period of a host that owns no shard and has no job with a timeout soon:
 # it only pings holders and looks for free shards. An idle host uses 1.1% of a
 # core with this period and 2.2% with one of 20 ms.
 IDLE_TICK_S = 0.1
@@ -86,7 +86,7 @@
 class SchedulerHost:
   """One host's scheduler.
 
-  Its life cycle is `start`, `drain`, `finish_drain` and `close`.
+  The order of calls is `start`, `drain`, `finish_drain` and `close`.
   """
 
   def __init__(
@@ -258,8 +258,8 @@
   async def close(self):
     """Closes every connection."""
     await self._server.close()
-    for peer in self._links.values():
-      await peer.close()
+    for peer_link in self._links.values():
+      await peer_link.close()
 
   def dump(self) -> dict:
     """Returns the whole state as JSON-ready data."""
@@ -304,10 +304,10 @@
     if holder.boot == self._state.me.process.boot:
       await self.apply(effect.message)
       return
-    peer = self._links.get(holder.peer)
-    if peer is None:
-      peer = self._links[holder.peer] = self._new_link(holder)
-    await peer.send(effect.shard, effect.message)
+    peer_link = self._links.get(holder.peer)
+    if peer_link is None:
+      peer_link = self._links[holder.peer] = self._new_link(holder)
+    await peer_link.send(effect.shard, effect.message)
 
   def _new_link(self, holder: model.Holder) -> link.Link:
     async def on_message(shard, message):
--- a/fescueturn/scheduler/offers.py
+++ b/fescueturn/scheduler/offers.py
@@ -13,15 +13,15 @@
 from fescueturn.scheduler import runcontrol
 
 # Retry delay that a holder in an evacuated data centre returns. An evacuation
-# lasts minutes, and other data centres are asked in the meantime.
+# lasts minutes, and the job is offered to other data centres in the meantime.
 EVACUATED_RETRY_MS = 5000
 # A job that starts within this time counts as starting immediately. Asking
-# another data centre takes a round trip of 1 to 2 ms and may find no more room.
+# another data centre takes a round trip of 1 to 2 ms and may find it full, too.
 IMMEDIATE_START_S = 0.005
 
 
 def handle_offer(owner: ownerstate.Owner, offer: linkmessages.Offered):
-  """Accepts or declines a job that lives as long as its caller waits."""
+  """Accepts or declines a job that ends when its caller stops waiting."""
   owner.last_contact[offer.key.process] = owner.now
   known = owner.jobs.get(offer.key)
   if known is not None:
@@ -69,12 +69,12 @@
 
   They were accepted before the owner knew its endpoints.
   """
-  early = [
+  unstarted = [
       job for job in owner.jobs.values() if not (job.begun or job.job.kept)
   ]
-  for job in early:
+  for job in unstarted:
     del owner.jobs[job.key]
-  for job in early:
+  for job in unstarted:
     forecast = forecast_lib.forecast(owner, job.offer(owner.now))
     owner.jobs[job.key] = job
     if forecast.late_s:
--- a/fescueturn/scheduler/roster.py
+++ b/fescueturn/scheduler/roster.py
@@ -20,12 +20,12 @@
 # and the next claim takes up to 0.2 s.
 MAX_AGE_S = 2.0
 # An endpoint that joins gets its first task this long after it entered the
-# roster. By then every roster without it is too old to be used, with half a
-# second to spare for the fencing of a replaced holder to stop its requests.
+# roster. By then every roster without it is too old to be used. The extra half
+# second leaves time until fencing stops the requests of a replaced holder.
 JOIN_DELAY_S = 2.5
 # An endpoint stays in the roster for this long after its removal. Entries that
 # expire while the store is unavailable return within seconds, and so need not
-# wait again.
+# wait for `JOIN_DELAY_S` again.
 REMOVED_RETENTION_S = 10.0
 
 
@@ -86,21 +86,25 @@
 
 
 def inherited_endpoints(
-    before: coordinatorstate.HolderRecord | None, follows: int, now: float
+    last_seen: coordinatorstate.HolderRecord | None, follows: int, now: float
 ) -> frozenset[str] | None:
   """Returns the endpoints where runs of the previous holder may be active.
 
   Args:
-    before: what this host knows of the last holder that it has seen.
-    follows: the fence number of the holder just before; 0 if that isn't known.
+    last_seen: this host's record of the last holder that it has seen.
+    follows: the fencing token of the immediately preceding holder; 0 if that
+      isn't known.
     now: the time (s).
 
   Returns:
     The previous holder's roster; None if it is unknown, too old or another
     holder's.
   """
-  if before is None or not follows or before.holder.fence != follows:
+  if last_seen is None or not follows or last_seen.holder.fence != follows:
     return None
-  if not before.roster_version or now - before.roster_valid_at > MAX_AGE_S:
+  if (
+      not last_seen.roster_version
+      or now - last_seen.roster_valid_at > MAX_AGE_S
+  ):
     return None
-  return before.roster
+  return last_seen.roster
--- a/fescueturn/views.py
+++ b/fescueturn/views.py
@@ -1,6 +1,6 @@
 """Membership views, and an entry host's state within the membership.
 
-A view is the set of entry hosts of the data centre at one KV revision.
+A view is the set of entry hosts of the data centre at one store revision.
 `Membership` holds this host's current view, the partitions of which it knows
 every claim (trusted), the lease that permits it to accept claims, and the
 promises that replace leases during a platform outage.
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-  """The entry hosts of a data centre at one KV revision.
+  """The entry hosts of a data centre at one store revision.
 
   Attributes:
     members: all entry hosts, sorted by name.
@@ -107,10 +107,11 @@
     lease: id of this host's lease.
     lease_until: when the lease expires, by this host's clock.
     promised_until: until when the promises of all peers replace the lease.
-    promises: promises given to other processes, with their expiry times.
+    promises: expiry times of the promises given to other processes.
     fenced_view: digest of a view in which this host accepts no claims.
     trusted: the partitions of which this host knows every claim.
-    departed: members that vanished without draining and may still run.
+    departed: members that left the view without draining and may still run,
+      by name.
     sync: the sync in progress, or None.
     probe: the last round of promise requests, or None.
     next_probe: the earliest time for the next such round.
--- a/tests/fakeplatform.py
+++ b/tests/fakeplatform.py
@@ -44,14 +44,14 @@
     self.pending = []
 
   async def run(self):
-    async def later(delay_s, action):
+    async def run_later(delay_s, action):
       await curio.sleep(delay_s)
       action()
 
     while True:
       pending, self.pending = self.pending, []
       for delay_s, action in pending:
-        await curio.spawn(later, min(delay_s, 60.0), action, daemon=True)
+        await curio.spawn(run_later, min(delay_s, 60.0), action, daemon=True)
       await curio.sleep(0.002)
 
 
@@ -84,7 +84,7 @@
     body = json.loads(request.body)
     if request.target == "/-/hold":
       return await self._hold(body)
-    task = platform_endpoints.parse_run_name(body["task"])
+    task = platform_endpoints.parse_task_name(body["task"])
     run = model.RunId(task, body["attempt"])
     fence = body["fencingToken"]
     if request.target == "/-/run-start":
@@ -121,13 +121,18 @@
     if answer.result is not model.CallResult.OK:
       return self._answer(answer.result)
     running = [
-        [platform_endpoints.run_name(r.run.task), r.run.attempt, "", r.percent]
+        [
+            platform_endpoints.format_task_name(r.run.task),
+            r.run.attempt,
+            "",
+            r.percent,
+        ]
         for r in answer.running
     ]
     finished = [
         [
             e.number,
-            platform_endpoints.run_name(e.run.task),
+            platform_endpoints.format_task_name(e.run.task),
             e.run.attempt,
             _HOW_BY_OUTCOME[e.how],
             "",
@@ -144,7 +149,7 @@
     )
 
 
-def _work(specs, task):
+def _task_profile(specs, task):
   spec = specs[task]
   need = model.Resources(spec.get("cpu", 27000), 64, 0)
   return endpoint_lib.TaskProfile(need, spec["run_s"], spec.get("fails", False))
@@ -156,12 +161,18 @@
   clock = RealClock()
   store = kvstore.KvStore()
   wire = wireserver.WireServer(store, time.monotonic)
-  specs, violations, live_runs, noted_done, emulated = {}, [], {}, set(), []
+  specs, violations, running_on, acknowledged_done, emulated = (
+      {},
+      [],
+      {},
+      set(),
+      [],
+  )
 
   async def report(request):
     del request
     starts = [
-        [platform_endpoints.run_name(r.task), r.attempt, e.info.id]
+        [platform_endpoints.format_task_name(r.task), r.attempt, e.info.id]
         for e in emulated
         for r in e.starts
     ]
@@ -196,10 +207,10 @@
     endpoint = endpoint_lib.EmulatedEndpoint(
         info,
         clock,
-        functools.partial(_work, specs),
+        functools.partial(_task_profile, specs),
         violations,
-        live_runs,
-        noted_done,
+        running_on,
+        acknowledged_done,
     )
     emulated.append(endpoint)
     fake = FakeEndpoint(endpoint, specs)
