--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -74,8 +74,8 @@
     busy: True if it rejects every start order.
     loss_rate: share of the calls that get no answer; start and stop orders
       among them are executed seconds later.
-    late_s: delay (s) after which start and stop orders are executed; they get
-      no answer. 0 executes them at once.
+    order_delay_s: delay (s) after which start and stop orders are executed;
+      they get no answer. 0 executes them at once.
     superseded: True if a new incarnation of the endpoint has its address.
     on_crash: called after a task has crashed the endpoint.
     starts: the runs that were started, in order.
@@ -107,13 +107,13 @@
         of the virtual one.
     """
     self.info = info
-    self.dark = False
+    self.unreachable = False
     self.slowdown = 1.0
     self.failing = False
     self.hanging = False
     self.busy = False
     self.loss_rate = 0.0
-    self.late_s = 0.0
+    self.order_delay_s = 0.0
     self.superseded = False
     self.on_crash: Callable[[EmulatedEndpoint], None] = lambda endpoint: None
     self.starts: list[model.RunId] = []
@@ -184,7 +184,7 @@
       )
 
   def _crash_during(self, run_id: model.RunId):
-    if run_id in self._runs and not self.dark:
+    if run_id in self._runs and not self.unreachable:
       self.crash()
       self.on_crash(self)
 
@@ -266,7 +266,7 @@
     for run_id in list(self._runs):
       del self._runs[run_id]
       self._running_on[run_id.task].discard(self.info.id)
-    self.dark = True
+    self.unreachable = True
 
   def stop(self, order: events.StopRun) -> model.CallResult:
     """Executes an order to stop a run."""
--- a/fescueturn/emulator/fleet.py
+++ b/fescueturn/emulator/fleet.py
@@ -141,7 +141,7 @@
   def restart_endpoint(self, endpoint: endpoint_lib.EmulatedEndpoint):
     """Starts a new incarnation of an endpoint at the same address."""
     info = endpoint.info
-    endpoint.superseded, endpoint.dark = True, False
+    endpoint.superseded, endpoint.unreachable = True, False
     self._incarnations += 1
     name = f"{info.address.host}.{self._incarnations}"
     restarted = self.add_endpoint(name, info.data_centre, info.capacity.cpu)
@@ -279,13 +279,13 @@
       host.apply(answer_type(name, run, model.CallResult.NO_ANSWER, None))
 
     def arrive():
-      if endpoint.dark or not self._can_reach(host, name):
+      if endpoint.unreachable or not self._can_reach(host, name):
         return
-      late_s = endpoint.late_s
+      delay_s = endpoint.order_delay_s
       if self.rng.random() < endpoint.loss_rate:
-        late_s = self.rng.uniform(2.0, 12.0)
-      if late_s:
-        self.clock.after(late_s, lambda: execute(endpoint))
+        delay_s = self.rng.uniform(2.0, 12.0)
+      if delay_s:
+        self.clock.after(delay_s, lambda: execute(endpoint))
         return
       result = execute(endpoint)
       clock_ms = endpoint.clock_ms
@@ -306,7 +306,7 @@
     def answer(result: events.LeaseAnswered):
       if (
           answered
-          or endpoint.dark
+          or endpoint.unreachable
           or not self._can_reach(host, endpoint.info.id)
       ):
         return
@@ -316,7 +316,9 @@
     lost = self.rng.random() < endpoint.loss_rate
 
     def arrive():
-      arrived = not endpoint.dark and self._can_reach(host, endpoint.info.id)
+      arrived = not endpoint.unreachable and self._can_reach(
+          host, endpoint.info.id
+      )
       if arrived and not lost:
         endpoint.renew(effect, answer)
 
@@ -388,7 +390,7 @@
     listed = tuple(
         e.info
         for name, e in self.endpoints.items()
-        if not (e.dark or e.superseded) and name not in self.unlisted
+        if not (e.unreachable or e.superseded) and name not in self.unlisted
     )
     self.clock.after(
         2 * fleetstore.STORE_DELAY_S,
--- a/fescueturn/platform/wireserver.py
+++ b/fescueturn/platform/wireserver.py
@@ -63,7 +63,7 @@
     self._changes = curio.Event()
 
   async def notify_watches(self):
-    """Wakes the waiting watches to check for changes."""
+    """Notifies the waiting watches, which then check for changes."""
     previous, self._changes = self._changes, curio.Event()
     await previous.set()
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -35,7 +35,7 @@
   assert finish([], (), 1, 0.2, 10.0) is None
 
 
-def test_queue_is_found_by_host_and_longest_prefix():
+def test_route_table_finds_the_queue_by_host_and_longest_prefix():
   def queue(name, host, prefix):
     return model.Queue(name, host, prefix, "s", 1, 1.0, 0, 0)
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -89,8 +89,10 @@
     emulation.clock.run_until(emulation.clock.now + 0.1)
     for endpoint in emulation.endpoints.values():
       if any(run.task.job_id == "good" for run in endpoint.running):
-        endpoint.dark = True
-        emulation.clock.after(4.0, lambda e=endpoint: setattr(e, "dark", False))
+        endpoint.unreachable = True
+        emulation.clock.after(
+            4.0, lambda e=endpoint: setattr(e, "unreachable", False)
+        )
     emulation.clock.run_until(emulation.clock.now + 1.2)
   emulation.clock.run_until(30)
   assert emulation.kept_store.states["good"] is model.KeptJobState.DONE
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -98,8 +98,8 @@
 
   def fault_endpoint_goes_silent(self):
     endpoint = self._fleet.endpoints[self._rng.choice(self._names)]
-    endpoint.dark = True
-    self._after_random_delay(lambda: setattr(endpoint, "dark", False))
+    endpoint.unreachable = True
+    self._after_random_delay(lambda: setattr(endpoint, "unreachable", False))
 
   def fault_messages_are_lost(self):
     endpoints = list(self._fleet.endpoints.values())
--- a/tests/test_scheduler_fleet.py
+++ b/tests/test_scheduler_fleet.py
@@ -103,9 +103,11 @@
   for number, name in enumerate(emulation.endpoints):
     endpoint = emulation.endpoints[name]
     begin = 2.0 + number * 0.6
-    emulation.clock.at(begin, lambda e=endpoint: setattr(e, "late_s", 3.0))
     emulation.clock.at(
-        begin + 0.4, lambda e=endpoint: setattr(e, "late_s", 0.0)
+        begin, lambda e=endpoint: setattr(e, "order_delay_s", 3.0)
+    )
+    emulation.clock.at(
+        begin + 0.4, lambda e=endpoint: setattr(e, "order_delay_s", 0.0)
     )
   emulation.clock.run_until(30)
   assert emulation.broken == []
