--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -66,8 +66,7 @@
 
   Attributes:
     info: the endpoint as the store's endpoint list shows it.
-    dark: True if it is unreachable: calls to it are neither executed nor
-      answered.
+    unreachable: True if calls to it are neither executed nor answered.
     slowdown: the factor by which its runs take longer.
     failing: True if every run that it starts fails.
     hanging: True if its runs make no progress.
