--- a/fescueturn/emulator/endpoint.py
+++ b/fescueturn/emulator/endpoint.py
@@ -66,16 +66,15 @@
 
   Attributes:
     info: the endpoint as the store's endpoint list shows it.
-    dark: True if it is unreachable: calls to it are neither executed nor
-      answered.
+    unreachable: True if calls to it are neither executed nor answered.
     slowdown: the factor by which its runs take longer.
     failing: True if every run that it starts fails.
     hanging: True if its runs make no progress.
     busy: True if it rejects every start order.
     loss_rate: share of the calls that get no answer; start and stop orders
       among them are executed seconds later.
-    late_s: delay (s) after which start and stop orders are executed; they get
-      no answer. 0 executes them at once.
+    order_delay_s: delay (s) after which start and stop orders are executed;
+      they get no answer. 0 executes them at once.
     superseded: True if a new incarnation of the endpoint has its address.
     on_crash: called after a task has crashed the endpoint.
     starts: the runs that were started, in order.
@@ -107,13 +106,13 @@
         of the virtual one.
     """
     self.info = info
-    self.dark = False
+    self.unreachable = False
     self.slowdown = 1.0
     self.failing = False
     self.hanging = False
     self.busy = False
     self.loss_rate = 0.0
-    self.late_s = 0.0
+    self.order_delay_s = 0.0
     self.superseded = False
     self.on_crash: Callable[[EmulatedEndpoint], None] = lambda endpoint: None
     self.starts: list[model.RunId] = []
@@ -184,7 +183,7 @@
       )
 
   def _crash_during(self, run_id: model.RunId):
-    if run_id in self._runs and not self.dark:
+    if run_id in self._runs and not self.unreachable:
       self.crash()
       self.on_crash(self)
 
@@ -266,7 +265,7 @@
     for run_id in list(self._runs):
       del self._runs[run_id]
       self._running_on[run_id.task].discard(self.info.id)
-    self.dark = True
+    self.unreachable = True
 
   def stop(self, order: events.StopRun) -> model.CallResult:
     """Executes an order to stop a run."""
