--- a/tests/test_platform_role.py
+++ b/tests/test_platform_role.py
@@ -170,7 +170,7 @@
   owner = deployment.owner("north")
   statuses, cut_off = [], []
 
-  def keep_sending():
+  def keep_sending(client: int):
     connection = http.client.HTTPConnection("127.0.0.1", owner.callers_port)
     body = {
         "bestEffort": True,
@@ -180,9 +180,7 @@
     number = 0x700
     while True:
       number += 1
-      path = deployments.PREFIX + deployments.job_id(
-          number + threading.get_ident() % 97 * 0x10000
-      )
+      path = deployments.PREFIX + deployments.job_id(number + client * 0x10000)
       sent_at = time.monotonic()
       try:
         connection.request(
@@ -199,7 +197,10 @@
       statuses.append(response.status)
       # If the response closes the connection, the client opens a new one.
 
-  threads = [threading.Thread(target=keep_sending) for _ in range(3)]
+  threads = [
+      threading.Thread(target=keep_sending, args=(client,))
+      for client in range(1, 4)
+  ]
   for thread in threads:
     thread.start()
   time.sleep(0.5)
