--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -79,8 +79,8 @@
   job = test_platform_jobstore.job("k")
   assert holder.loaded.takeovers == 1
   assert holder.loaded.jobs == (model.KeptJob(job, PROGRESS),)
-  assert holder.state("k").state is model.KeptJobState.OPEN
-  assert holder.state("over").state is model.KeptJobState.FAILED
+  assert holder.status("k").state is model.KeptJobState.OPEN
+  assert holder.status("over").state is model.KeptJobState.FAILED
 
 
 def test_kept_jobs_are_written_as_the_previous_build_writes_them():
